--- /dev/null
+++ b/tests/digest_decisions.cpp
@@ -0,0 +1,324 @@
+// Recorded days of the decision module: every order with its arguments, in the order in which it was given.
+#include "digest_days.h"
+#include "world.h"
+
+namespace zincstack::tests {
+
+namespace {
+
+constexpr int kSeconds = 40;
+constexpr int kSecondsOfLongDay = 100; // servers that are slowed are held for a minute
+constexpr std::uint64_t kLongDayEvery = 10;
+constexpr std::uint64_t kListedLater = 100; // ids of servers that start during the day begin here
+
+/// What the sums of a while look like.
+enum class Condition { Well, FewFail, FewAreSlow, FewAreSilent, AllAreSlow, MostFail };
+
+/// A model of proxies and their channel that records each order that it is given.
+class RecordingWorld : public World {
+public:
+    RecordedDay day;
+    bool channelIsCounted = false; ///< the caller can tell what waits, so that starter tables are used
+    std::size_t wholeTables = 0;   ///< tables with higher ids are starter tables
+
+    void setLine(TableId table, ServerId server, double weight) override {
+        countLine(table, server, weight);
+        record("setLine",
+               {{"table", number(table)}, {"server", number(server)}, {"weight", exactText(weight)}});
+        World::setLine(table, server, weight);
+    }
+    void bind(ProxyId proxy, ProductSet set, TableId table) override {
+        if (isStarter(table)) ++day.coverage["starter table bound"];
+        record("bind",
+               {{"proxy", number(proxy)}, {"products", std::to_string(set)}, {"table", number(table)}});
+        World::bind(proxy, set, table);
+    }
+    void withdraw(ServerId server, bool out) override {
+        record("withdraw", {{"server", number(server)}, {"out", std::to_string(out)}});
+        ++day.coverage[out ? "server shut out" : "server let back"];
+        World::withdraw(server, out);
+    }
+    void admit(std::optional<TableId> table, ProductSet set, double level, FurtherTries tries) override {
+        record("admit", {{"table", table ? number(*table) : "all"},
+                         {"products", std::to_string(set)},
+                         {"level", exactText(level)},
+                         {"tries", std::to_string(static_cast<int>(tries))}});
+        World::admit(table, set, level, tries);
+    }
+    void mark(MarkId mark, bool everyProxy) override {
+        record("mark", {{"number", number(mark)}, {"everyProxy", std::to_string(everyProxy)}});
+        World::mark(mark, everyProxy);
+    }
+    void probe(ServerId server) override {
+        record("probe", {{"server", number(server)}});
+        World::probe(server);
+    }
+    void followList() override {
+        record("followList", {});
+        World::followList();
+    }
+    void wakeAfter(Micros span) override {
+        record("wakeAfter", {{"span", std::to_string(span.count())}});
+        World::wakeAfter(span);
+    }
+    bool forget(ServerId server) override {
+        const bool done = World::forget(server);
+        record("forget", {{"server", number(server)}, {"done", std::to_string(done)}});
+        return done;
+    }
+    bool letBack(ProxyId proxy, std::size_t most) override {
+        const bool done = World::letBack(proxy, most);
+        record("letBack",
+               {{"proxy", number(proxy)}, {"most", std::to_string(most)}, {"done", std::to_string(done)}});
+        return done;
+    }
+    /// Not recorded as an event, since its wording may change; its first word tells what has been reached.
+    void log(std::string_view line) override {
+        ++day.coverage["log: " + std::string(line.substr(0, line.find(':')))];
+    }
+    std::optional<double> pendingLines() const override {
+        if (!channelIsCounted) return {};
+        double waiting = 0;
+        for (const Message& message : queue) waiting += message.lines;
+        return waiting;
+    }
+    bool needsMark() const override {
+        constexpr Micros kEvery = 1850ms;
+        constexpr Micros kFor = 50ms;
+        return channelIsCounted && now % kEvery < kFor;
+    }
+    bool rebinds(ProxyId) const override { return channelIsCounted; }
+
+private:
+    static std::string number(const auto& id) { return std::to_string(id.value); }
+    bool isStarter(TableId table) const { return table.value >= wholeTables; }
+    void record(std::string_view order,
+                std::initializer_list<std::pair<std::string_view, std::string>> values) {
+        ++day.coverage[std::string(order)];
+        day.events.push_back(eventText(now, order, values));
+    }
+    void countLine(TableId table, ServerId server, double weight) {
+        if (isStarter(table)) ++day.coverage["starter table line"];
+        const auto before = tables[table].find(server);
+        const bool lowered = before != tables[table].end() && weight > 0 && weight < before->second;
+        if (lowered && known[server].entry.startedAt == 0us) ++day.coverage["warm server lowered"];
+    }
+};
+
+/// Plays one day on a recording world.
+class DecisionsDay {
+public:
+    explicit DecisionsDay(std::uint64_t seed)
+        : seconds_(seed % kLongDayEvery == 0 ? kSecondsOfLongDay : kSeconds), numbers_(seed) {
+        chooseTerms(seed);
+        addServers();
+        world_.start(seed);
+        const auto proxies = numbers_.between(4, 24);
+        for (std::uint16_t proxy = 0; proxy < proxies; ++proxy) join(proxy);
+    }
+    RecordedDay play() {
+        for (int second = 0; second < seconds_; ++second) {
+            if (second == changesAt_) changeCondition(second);
+            if (numbers_.chance(0.5)) happen();
+            passPart();
+            if (numbers_.chance(0.9)) report();
+            passPart();
+            if (numbers_.chance(0.85)) answerProbes();
+        }
+        return std::move(world_.day);
+    }
+
+private:
+    void chooseTerms(std::uint64_t seed) {
+        world_.checksRules = false;
+        world_.channelIsCounted = seed % 2 == 1;
+        world_.forgets = numbers_.chance(0.5);
+        world_.tellsOnce = numbers_.chance(0.5);
+        world_.fleet.zones = static_cast<std::uint8_t>(numbers_.between(1, 3));
+        world_.fleet.weightsListed = numbers_.chance(0.7);
+        world_.fleet.listMustBeAsked = numbers_.chance(0.2);
+        world_.fleet.mayProbe = numbers_.chance(0.9);
+        world_.forwarders.throttle = numbers_.oneOf({Throttle::None, Throttle::Share, Throttle::Rate});
+        world_.forwarders.standingLines = static_cast<std::uint32_t>(numbers_.between(2, 6));
+        world_.channel.messagesMost = numbers_.oneOf({0U, 0U, 6U, 30U});
+        world_.channel.linesPerSecond = numbers_.oneOf({400.0, 4000.0, 7000.0});
+        world_.channel.queueMost = numbers_.oneOf({500.0, 4000.0, 20000.0});
+        world_.guards.goneBinds = numbers_.chance(0.7);
+        for (ProductTerms& product : world_.products) product.ownZoneOnly = numbers_.chance(0.25);
+        world_.wholeTables = countWholeTables();
+        busyZone_ = numbers_.chance(0.4);
+    }
+    /// The planner has a table of each zone for all products of one zone only, and for all others.
+    std::size_t countWholeTables() const {
+        std::size_t groups = 0;
+        for (const bool ownZone : {false, true})
+            groups += std::ranges::count(world_.products, ownZone, &ProductTerms::ownZoneOnly) > 0;
+        return groups * world_.fleet.zones;
+    }
+    std::uint8_t zoneOf(std::uint64_t id) const { return static_cast<std::uint8_t>(id % world_.fleet.zones); }
+    void addServers() {
+        const auto count = numbers_.between(4, 30);
+        for (std::uint64_t id = 0; id < count; ++id) {
+            world_.server(id, static_cast<double>(numbers_.between(1, 3)), zoneOf(id));
+            if (numbers_.chance(0.1)) world_.known[{id}].entry.startedAt = world_.now - anyMicros(20s);
+        }
+    }
+    Micros anyMicros(Micros end) {
+        return Micros(static_cast<std::int64_t>(numbers_.below(static_cast<std::uint64_t>(end.count()))));
+    }
+    double rateOf(std::uint16_t proxy) const { return busyZone_ && zoneOf(proxy) == 0 ? 90 : 8 + proxy; }
+    /// The proxy holds a few servers, or the whole of an old table.
+    void join(std::uint16_t proxy) {
+        const bool hasWholeTable = numbers_.chance(0.3);
+        std::set<ServerId> holds;
+        for (const auto& [id, one] : world_.known)
+            if (one.entry.state != ListedState::Gone && numbers_.chance(hasWholeTable ? 0.95 : 0.2))
+                holds.insert(id);
+        world_.join(proxy, zoneOf(proxy), rateOf(proxy), std::move(holds));
+    }
+    ServerId anyServer() {
+        return std::next(world_.known.begin(),
+                         static_cast<std::ptrdiff_t>(numbers_.below(world_.known.size())))
+            ->first;
+    }
+
+    void happen() {
+        switch (numbers_.below(14)) {
+        case 0:
+        case 1: world_.news(anyServer().value, ListedState::Draining); break;
+        case 2: world_.news(anyServer().value, ListedState::Gone); break;
+        case 3: world_.news(anyServer().value, ListedState::Ready); break;
+        case 4: world_.news(anyServer().value, ListedState::Ready, world_.now - anyMicros(12s)); break;
+        case 5:
+        case 6:
+        case 7: startServers(); break;
+        case 8: leaveOrCome(); break;
+        case 9: join(static_cast<std::uint16_t>(numbers_.below(24))); break;
+        case 10: release(); break;
+        case 11: tellWholeList(); break;
+        case 12: world_.slow = numbers_.chance(0.5) ? 1 : 1 + 4 * numbers_.share(); break;
+        default:
+            if (numbers_.chance(0.4)) world_.restart(numbers_.below(1000));
+        }
+    }
+    void startServers() {
+        for (auto count = numbers_.between(1, 4); count > 0; --count) {
+            const std::uint64_t id = nextServer_++;
+            ListedServer& entry = world_.known[{id}].entry;
+            entry.weight = static_cast<double>(numbers_.between(1, 3));
+            entry.zone = {zoneOf(id)};
+            world_.news(id, ListedState::Ready, numbers_.chance(0.5) ? 0us : world_.now - anyMicros(2s));
+        }
+    }
+    /// Some servers end while others take their place.
+    void release() {
+        for (auto count = numbers_.between(1, 5); count > 0; --count)
+            world_.news(anyServer().value, ListedState::Draining);
+        startServers();
+    }
+    void leaveOrCome() {
+        const auto proxy = static_cast<std::uint16_t>(numbers_.below(24));
+        if (world_.proxies.contains({proxy}))
+            world_.leave(proxy);
+        else
+            join(proxy);
+    }
+    void tellWholeList() {
+        const auto news =
+            numbers_.oneOf({ListNews::Cached, ListNews::Whole, ListNews::Whole, ListNews::Failed});
+        std::vector<ListedServer> entries;
+        for (auto& [id, one] : world_.known) {
+            const bool named = one.entry.state != ListedState::Gone && !numbers_.chance(0.03);
+            if (!named) one.entry.state = ListedState::Gone;
+            if (named && news != ListNews::Failed) entries.push_back(one.entry);
+        }
+        world_.batch([&] { world_.planner->list(news, entries); });
+    }
+
+    void changeCondition(int second) {
+        condition_ = numbers_.oneOf({Condition::Well, Condition::Well, Condition::FewFail, Condition::FewFail,
+                                     Condition::FewAreSlow, Condition::FewAreSlow, Condition::FewAreSilent,
+                                     Condition::AllAreSlow, Condition::AllAreSlow, Condition::MostFail});
+        affected_.clear();
+        for (auto count = numbers_.between(1, 4); count > 0; --count) affected_.insert(anyServer());
+        changesAt_ = second + static_cast<int>(numbers_.between(3, 9));
+    }
+    bool isAffected(ServerId server) const {
+        const bool all = condition_ == Condition::AllAreSlow || condition_ == Condition::MostFail;
+        return condition_ != Condition::Well && (all || affected_.contains(server));
+    }
+    double failingShare(ServerId server) {
+        if (!isAffected(server)) return numbers_.chance(0.1) ? 0.1 : 0;
+        if (condition_ == Condition::FewFail) return numbers_.oneOf({0.6, 0.8, 1.0});
+        if (condition_ == Condition::MostFail) return 0.3 + 0.7 * numbers_.share();
+        return 0.2 * numbers_.share();
+    }
+    Micros delayOf(ServerId server) {
+        const bool isSlow = isAffected(server) && condition_ != Condition::FewFail;
+        return isSlow ? 900ms + anyMicros(2s) : 50ms + anyMicros(200ms);
+    }
+    /// The sums of a second: each zone's proxies on each server, and each proxy on each product.
+    void report() {
+        double rate = 0;
+        for (const auto& [id, proxy] : world_.proxies) rate += rateOf(id.value);
+        const double lines = static_cast<double>(world_.known.size()) * world_.fleet.zones;
+        const auto tries = static_cast<std::uint32_t>(rate * (0.7 + numbers_.share()) / lines) + 3;
+        world_.batch([&] {
+            for (const auto& [id, one] : world_.known)
+                if (one.entry.state == ListedState::Ready && !world_.withdrawn.contains(id))
+                    reportServer(id, tries);
+            for (const auto& [id, proxy] : world_.proxies) reportUsage(id);
+        });
+    }
+    void reportServer(ServerId server, std::uint32_t tries) {
+        if (condition_ == Condition::FewAreSilent && isAffected(server)) return;
+        for (std::uint8_t zone = 0; zone < world_.fleet.zones; ++zone) {
+            ServerSums sums{
+                .server = server, .proxiesZone = {zone}, .tries = tries, .span = 1s, .report = {}};
+            sums.unanswered = static_cast<std::uint32_t>(tries * failingShare(server));
+            if (sums.unanswered < tries) sums.meanDelay = delayOf(server);
+            if (numbers_.chance(0.5)) sums.report.held = isAffected(server) ? 40 : 5 * numbers_.share();
+            if (numbers_.chance(0.2)) sums.report.waiting = 10 * numbers_.share();
+            world_.planner->sums(sums);
+        }
+    }
+    void reportUsage(ProxyId proxy) {
+        for (std::uint16_t product = 0; product < world_.products.size(); ++product) {
+            const double each = rateOf(proxy.value) / static_cast<double>(world_.products.size());
+            const auto txns = static_cast<std::uint32_t>(each * (0.8 + 0.4 * numbers_.share()));
+            world_.planner->usage({proxy, {product}, txns, txns / 10, 1s});
+        }
+    }
+    void answerProbes() {
+        const auto asked = std::exchange(world_.probes, {});
+        world_.batch([&] {
+            for (const ServerId server : asked) world_.planner->probed(probeResult(server));
+        });
+    }
+    ProbeResult probeResult(ServerId server) {
+        ProbeResult result{.server = server, .status = ProbeStatus::Answered, .delay = 5ms, .report = {}};
+        if (isAffected(server))
+            result.status = static_cast<ProbeStatus>(numbers_.below(6));
+        else if (numbers_.chance(0.1))
+            result.status = ProbeStatus::TimedOut;
+        if (numbers_.chance(0.2)) result.delay = 400ms + anyMicros(1s);
+        if (numbers_.chance(0.3)) result.report.held = 40 * numbers_.share();
+        return result;
+    }
+    void passPart() { world_.pass(50ms * static_cast<std::int64_t>(numbers_.between(4, 16))); }
+
+    const int seconds_;
+    SeededNumbers numbers_;
+    RecordingWorld world_;
+    Condition condition_ = Condition::Well;
+    std::set<ServerId> affected_;
+    int changesAt_ = 3;
+    bool busyZone_ = false; // one zone has most of the traffic, more than its own servers can take
+    std::uint64_t nextServer_ = kListedLater;
+};
+
+} // namespace
+
+RecordedDay playDecisionsDay(std::uint64_t seed) { return DecisionsDay(seed).play(); }
+
+} // namespace zincstack::tests
--- /dev/null
+++ b/tests/digest_reference.cpp
@@ -0,0 +1,100 @@
+#include "digest_reference.h"
+
+#include <boost/crc.hpp>
+
+#include <algorithm>
+#include <cstdio>
+#include <fstream>
+#include <stdexcept>
+
+namespace zincstack::tests {
+
+namespace {
+
+constexpr std::size_t kCheckpointDigits = 2;
+
+std::string digestPath(const DayKind& kind) {
+    return std::string(ZINCSTACK_DIGEST_FOLDER) + "/" + std::string(kind.name) + ".txt";
+}
+
+std::string checkpointPath(const DayKind& kind) {
+    return std::string(ZINCSTACK_DIGEST_FOLDER) + "/" + std::string(kind.name) + "_checkpoints.txt";
+}
+
+std::string checksumText(std::uint32_t checksum) {
+    char text[9];
+    std::snprintf(text, sizeof text, "%08x", checksum);
+    return text;
+}
+
+std::string checkpointText(std::uint32_t checksum) {
+    return checksumText(checksum).substr(8 - kCheckpointDigits);
+}
+
+/// The place of the first event whose checkpoint differs. Where one list is the start of the other, its end.
+std::size_t firstDifference(const std::string& kept, const std::string& now) {
+    const auto unequal = std::ranges::mismatch(kept, now).in1;
+    return static_cast<std::size_t>(unequal - kept.begin()) / kCheckpointDigits;
+}
+
+std::ofstream openForWriting(const std::string& path) {
+    std::ofstream file(path);
+    if (!file) throw std::runtime_error("can't write " + path);
+    return file;
+}
+
+} // namespace
+
+DayDigest digestOf(const RecordedDay& day) {
+    boost::crc_32_type checksum;
+    DayDigest digest;
+    digest.events = day.events.size();
+    for (const std::string& event : day.events) {
+        checksum.process_bytes(event.data(), event.size());
+        checksum.process_byte('\n');
+        digest.checkpoints += checkpointText(checksum.checksum());
+    }
+    digest.checksum = checksum.checksum();
+    return digest;
+}
+
+DigestReference::DigestReference(const DayKind& kind) : kind_(kind) {
+    std::uint64_t seed = 0;
+    std::ifstream digests(digestPath(kind));
+    for (DayDigest digest; digests >> seed >> digest.events >> std::hex >> digest.checksum >> std::dec;)
+        kept_[seed] = digest;
+    std::ifstream checkpoints(checkpointPath(kind));
+    for (std::string text; checkpoints >> seed >> text;) kept_[seed].checkpoints = text;
+}
+
+std::string DigestReference::where(std::uint64_t seed) const {
+    return std::string(kind_.name) + " seed " + std::to_string(seed);
+}
+
+std::optional<std::string> DigestReference::difference(std::uint64_t seed, const RecordedDay& played) const {
+    const auto found = kept_.find(seed);
+    if (found == kept_.end()) return where(seed) + ": no checksum is kept in tests/digests";
+    const DayDigest& kept = found->second;
+    const DayDigest now = digestOf(played);
+    if (kept.checksum == now.checksum && kept.events == now.events) return {};
+    const std::string counts = where(seed) + ": " + std::to_string(kept.events) + " events with checksum " +
+                               checksumText(kept.checksum) + " are kept, " + std::to_string(now.events) +
+                               " with checksum " + checksumText(now.checksum) + " were played";
+    if (kept.checkpoints.empty())
+        return counts + "; compare `zincstack_digests print` of two builds to see the first event";
+    const std::size_t first = firstDifference(kept.checkpoints, now.checkpoints);
+    const std::string event =
+        first < played.events.size() ? played.events[first] : "the day ends before this event";
+    return counts + "; event " + std::to_string(first) + " is the first that differs: " + event;
+}
+
+void writeDigestReference(const DayKind& kind, const std::map<std::uint64_t, DayDigest>& digests) {
+    auto lines = openForWriting(digestPath(kind));
+    auto checkpoints = openForWriting(checkpointPath(kind));
+    for (const auto& [seed, digest] : digests) {
+        lines << seed << ' ' << digest.events << ' ' << checksumText(digest.checksum) << '\n';
+        if (seed <= kind.seedsOfTests) checkpoints << seed << ' ' << digest.checkpoints << '\n';
+    }
+}
+
+} // namespace zincstack::tests
--- /dev/null
+++ b/tests/digest_test.cpp
@@ -0,0 +1,43 @@
+// The first recorded days of each kind give the orders and bytes that they gave when their checksums were kept
+// (digest_days.h). The program zincstack_digests checks all days, and writes the checksums anew after a change that
+// is meant to change what the program does.
+#include <gtest/gtest.h>
+
+#include "digest_reference.h"
+
+namespace zincstack::tests {
+namespace {
+
+void expectSameAsKept(std::string_view kindName) {
+    const DayKind* kind = findDayKind(kindName);
+    ASSERT_NE(kind, nullptr);
+    const DigestReference reference(*kind);
+    for (std::uint64_t seed = 1; seed <= kind->seedsOfTests; ++seed) {
+        const auto difference = reference.difference(seed, kind->play(seed));
+        EXPECT_FALSE(difference) << difference.value_or("");
+    }
+}
+
+TEST(Digests, DecisionsAreAsKept) { expectSameAsKept("decisions"); }
+TEST(Digests, PushedBytesAreAsKept) { expectSameAsKept("push"); }
+TEST(Digests, BytesOfThePubsubChannelAreAsKept) { expectSameAsKept("pubsub"); }
+TEST(Digests, RepliesOnTheSimulatorsWireAreAsKept) { expectSameAsKept("simwire"); }
+
+TEST(Digests, ADifferenceNamesTheSeedAndTheEvent) {
+    const DayKind& kind = *findDayKind("simwire");
+    const DigestReference reference(kind);
+    RecordedDay changed = kind.play(1);
+    constexpr std::size_t kChanged = 7;
+    ASSERT_GT(changed.events.size(), kChanged);
+    changed.events[kChanged] += " changed";
+    const auto difference = reference.difference(1, changed);
+    ASSERT_TRUE(difference);
+    EXPECT_NE(difference->find("simwire seed 1"), std::string::npos) << *difference;
+    EXPECT_NE(difference->find("event 7 is"), std::string::npos) << *difference;
+    EXPECT_NE(difference->find(changed.events[kChanged]), std::string::npos) << *difference;
+    changed.events.resize(kChanged);
+    EXPECT_NE(reference.difference(1, changed)->find("the day ends"), std::string::npos);
+}
+
+} // namespace
+} // namespace zincstack::tests
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -7,6 +7,7 @@
 #include <bitset>
 #include <cstdint>
 #include <deque>
+#include <functional>
 #include <map>
 #include <memory>
 #include <optional>
@@ -165,6 +166,14 @@
         pending = true;
     }
 
+    /// Every server that was probed answers at once.
+    void probesAreAnswered() {
+        open();
+        for (const ServerId server : std::exchange(probes, {}))
+            planner->probed({server, ProbeStatus::Answered, 5ms, {}});
+        pending = true;
+    }
+
     // ---- what was seen ------------------------------------------------------------------------------------
 
     ServerSet readyServers() const {
@@ -177,6 +186,8 @@
     Micros now{1000s};
     std::mt19937_64 random;
     std::map<std::string, std::pair<int, std::string>> broken; ///< by rule: how often, and the first case
+    /// Called with everything that is written to a proxy's stream, if it is set.
+    std::function<void(std::uint16_t proxy, std::string_view bytes)> onBytes;
 
 private:
     static constexpr Micros kMessagesOver = 10s;
@@ -281,6 +292,7 @@
     }
 
     void written(std::uint16_t proxy, std::string_view bytes) {
+        if (onBytes) onBytes(proxy, bytes);
         const double lines = terms.headLines + linesOf(bytes);
         queue.push_back({proxy, proxies.at(proxy).generation, lines, std::string(bytes)});
         waiting += lines;
