--- a/bench/pubsub_bench.cpp
+++ b/bench/pubsub_bench.cpp
@@ -17,11 +17,11 @@
 #include <string>
 
 #include "bench.h"
-#include "client/link.h"
-#include "engine/engine.h"
-#include "platform/door.h"
-#include "platform/intake.h"
-#include "pubsub/channel.h"
+#include "client/subscription_client.h"
+#include "engine/batch_runner.h"
+#include "platform/input_translator.h"
+#include "platform/session_acceptor.h"
+#include "pubsub/pubsub_service.h"
 
 namespace zincstack::bench {
 
@@ -47,7 +47,7 @@
     std::int64_t heardAt[kChangesMost]
                         [kSubscribersMost]; ///< when each front end had a change; steady clock, us
 };
-std::int64_t nowMicros() { return client::Link::now().count(); }
+std::int64_t nowMicros() { return client::SubscriptionClient::now().count(); }
 double threadCpuMicros() {
     timespec at{};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &at);
@@ -104,7 +104,7 @@
 /// All front ends; carries out orders until it is ended.
 [[noreturn]] void child(Shared& shared, Front front, std::size_t subscribers, const tcp::endpoint& at) {
     asio::io_context io(1);
-    std::vector<std::shared_ptr<client::Link>> links;
+    std::vector<std::shared_ptr<client::SubscriptionClient>> links;
     std::vector<std::shared_ptr<PlatformEnd>> ends;
     for (std::size_t k = 0; k < subscribers; ++k) {
         if (front == Front::Platform) {
@@ -112,9 +112,9 @@
             ends.back()->start(at);
             continue;
         }
-        links.push_back(std::make_shared<client::Link>(
+        links.push_back(std::make_shared<client::SubscriptionClient>(
             io, std::vector{at}, client::Identity{ProxyId{static_cast<std::uint16_t>(k)}, "a", 1},
-            client::RedialTerms{.first = 2ms, .most = 20ms}, k, 10s,
+            client::ReconnectConfig{.initialDelay = 2ms, .maxDelay = 20ms}, k, 10s,
             [&shared, k](std::optional<pubsub::TopicId> topic) {
                 const std::uint64_t expected = shared.expected;
                 if (!topic || !expected || shared.heardAt[expected][k]) return;
@@ -129,9 +129,9 @@
         carried = shared.order;
         for (std::size_t k = 0; k < links.size(); ++k) {
             if (k * 100 >= static_cast<std::size_t>(shared.part) * links.size()) break;
-            if (shared.what == 1) links[k]->cut();
-            if (shared.what == 2) links[k]->stall(true);
-            if (shared.what == 3) links[k]->stall(false);
+            if (shared.what == 1) links[k]->dropConnection();
+            if (shared.what == 2) links[k]->pauseReading(true);
+            if (shared.what == 3) links[k]->pauseReading(false);
         }
         ++shared.done;
     }
@@ -141,23 +141,23 @@
 
 /// No decisions: binds who joins, and orders what it is told to.
 struct Scripted final : Planner {
-    explicit Scripted(orders::OrderBook& its) : book(its) {}
-    void begin(Micros) override {}
-    void list(ListNews, std::span<const ListedServer>) override {}
-    void joined(ProxyId proxy, ZoneId, double, bool) override { unbound.push_back(proxy); }
-    void left(ProxyId proxy) override { std::erase(unbound, proxy); }
-    void sums(const ServerSums&) override {}
-    void usage(const UsageSums&) override {}
-    void applied(ProxyId, MarkId) override { ++answers; }
-    void probed(const ProbeResult&) override {}
-    void woken() override {}
+    explicit Scripted(routing::RoutingState& its) : book(its) {}
+    void beginBatch(Micros) override {}
+    void updateEndpoints(EndpointListUpdate, std::span<const EndpointUpdate>) override {}
+    void proxyJoined(ProxyId proxy, ZoneId, double, bool) override { unbound.push_back(proxy); }
+    void proxyLeft(ProxyId proxy) override { std::erase(unbound, proxy); }
+    void reportLoad(const EndpointLoadReport&) override {}
+    void reportDemand(const DemandReport&) override {}
+    void barrierAcknowledged(ProxyId, BarrierId) override { ++answers; }
+    void probeCompleted(const ProbeResult&) override {}
+    void timerExpired() override {}
     void decide() override {
-        for (const ProxyId proxy : std::exchange(unbound, {})) book.bind(proxy, 0, {0});
+        for (const ProxyId proxy : std::exchange(unbound, {})) book.assignTable(proxy, 0, {0});
         if (orders) std::exchange(orders, {})();
         mark = static_cast<std::uint16_t>(mark % 65535 + 1);
-        book.mark({mark}, false);
+        book.requestBarrier({mark}, false);
     }
-    orders::OrderBook& book;
+    routing::RoutingState& book;
     std::vector<ProxyId> unbound;
     std::function<void()> orders;
     std::uint64_t answers = 0;
@@ -165,55 +165,55 @@
 };
 
 /// The simplest channel that could be: the whole table to all at each change, encoded once.
-struct WholeTables final : orders::Front {
-    WholeTables(orders::OrderBook& itsBook, const net::Names& its, Scripted& itsPlanner)
+struct WholeTables final : routing::UpdateTransport {
+    WholeTables(routing::RoutingState& itsBook, const net::NameRegistry& its, Scripted& itsPlanner)
         : book(itsBook), names(its), planner(itsPlanner) {
-        book.add(*this);
+        book.addTransport(*this);
     }
-    struct Reader final : net::Peer {
+    struct Reader final : net::PeerProtocol {
         Reader(WholeTables& its, net::Connection& its2) : front(its), connection(its2) {}
         bool feed(std::string_view bytes) override {
             reader.feed(bytes, [&](pubsub::Frame& frame) {
-                if (frame.type == pubsub::Type::Hello) {
+                if (frame.type == pubsub::FrameType::Hello) {
                     proxy = pubsub::readHello(frame.body)->proxy;
                     front.readers[*proxy] = this;
-                    pubsub::Frame welcome{pubsub::Type::Welcome};
+                    pubsub::Frame welcome{pubsub::FrameType::Welcome};
                     welcome.body = write(pubsub::Welcome{1, 1, "whole", 1s, 100s});
                     connection.push(std::make_shared<const std::string>(writeFrame(welcome, false)));
-                    front.book.joined(*proxy, {0}, front);
-                    front.input().joined(*proxy, {0}, 1, true);
+                    front.book.proxyJoined(*proxy, {0}, front);
+                    front.input().proxyJoined(*proxy, {0}, 1, true);
                 }
-                if (frame.type == pubsub::Type::Applied && !frame.more) ++front.planner.answers;
+                if (frame.type == pubsub::FrameType::Applied && !frame.more) ++front.planner.answers;
                 return true;
             });
             return true;
         }
-        bool mayStay() override { return true; }
-        bool stranger() const override { return false; }
-        void ended() override {
+        bool joinDeadlineExpired() override { return true; }
+        bool isUnidentified() const override { return false; }
+        void connectionClosed() override {
             front.readers.erase(*proxy);
-            front.book.left(*proxy, front);
+            front.book.proxyLeft(*proxy, front);
         }
         WholeTables& front;
         net::Connection& connection;
         pubsub::FrameReader reader{pubsub::kClientFrameMost};
         std::optional<ProxyId> proxy;
     };
-    void lineSet(TableId, ServerId, double) override { dirty = true; }
-    void bound(ProxyId, TableId) override { dirty = true; }
-    void withdrawn(ServerId, bool) override { dirty = true; }
-    void levelSet(std::optional<TableId>, ProductSet) override { dirty = true; }
-    void marked(MarkId, bool) override {}
-    void forgotten(ServerId) override {}
-    void replaced(ProxyId) override {}
+    void weightChanged(TableId, EndpointId, double) override { dirty = true; }
+    void tableAssigned(ProxyId, TableId) override { dirty = true; }
+    void exclusionChanged(EndpointId, bool) override { dirty = true; }
+    void admissionChanged(std::optional<TableId>, RequestClassSet) override { dirty = true; }
+    void barrierRequested(BarrierId, bool) override {}
+    void endpointForgotten(EndpointId) override {}
+    void sessionReplaced(ProxyId) override {}
     void flush() override {
         if (!std::exchange(dirty, false) || book.tables().empty()) return;
         ++sequence;
         std::vector<pubsub::Entry> all;
-        for (const auto& [server, weight] : book.table({0}).lines)
-            all.push_back({{pubsub::Key::Kind::Line, names.of(server)},
-                           {book.withdrawnServers().contains(server) ? 0.001 : weight, {}}});
-        pubsub::Frame frame{pubsub::Type::Snapshot};
+        for (const auto& [server, weight] : book.table({0}).weights)
+            all.push_back({{pubsub::Key::Kind::Line, names.nameOf(server)},
+                           {book.excludedEndpoints().contains(server) ? 0.001 : weight, {}}});
+        pubsub::Frame frame{pubsub::FrameType::Snapshot};
         frame.topic = {1};
         frame.sequence = {sequence};
         std::vector<net::SharedBytes> parts;
@@ -229,8 +229,8 @@
         for (auto& [proxy, reader] : readers)
             for (const auto& part : parts) reader->connection.push(part);
     }
-    orders::OrderBook& book;
-    const net::Names& names;
+    routing::RoutingState& book;
+    const net::NameRegistry& names;
     Scripted& planner;
     std::function<Planner&()> input;
     std::map<ProxyId, Reader*> readers;
@@ -244,17 +244,18 @@
     net::BufferPool pool{65536};
     asio::io_context io{1};
     net::Counters counters;
-    net::Names names{{"lookup"}, {"a"}};
-    net::Engine* wakes = nullptr;
-    orders::OrderBook book{names, counters, [](ServerId) {}, [this](Micros span) { wakes->wakeAfter(span); }};
-    net::Outbox outbox{book, names, counters};
+    net::NameRegistry names{{"lookup"}, {"a"}};
+    net::BatchRunner* wakes = nullptr;
+    routing::RoutingState book{names, counters, [](EndpointId) {},
+                               [this](Micros span) { wakes->scheduleWakeUp(span); }};
+    net::UpdateQueue outbox{book, names, counters};
     Scripted planner{book};
-    net::Engine engine{io, planner, book, counters, 0us};
-    net::Intake intake{engine, book, outbox, names, counters, proxies};
-    net::Door door{intake, counters, pool};
+    net::BatchRunner engine{io, planner, book, counters, 0us};
+    net::InputTranslator intake{engine, book, outbox, names, counters, proxies};
+    net::SessionAcceptor door{intake, counters, pool};
     std::optional<WholeTables> whole;
-    pubsub::Hub* hub = nullptr;
-    std::optional<pubsub::Channel> channel;
+    pubsub::SubscriptionServer* hub = nullptr;
+    std::optional<pubsub::PubsubService> channel;
     std::shared_ptr<net::Listener> listener;
 
     tcp::endpoint listen(Front front) {
@@ -263,28 +264,31 @@
             channel.emplace(
                 io, counters, pool,
                 [this] {
-                    auto out = std::make_unique<pubsub::Hub>(
+                    auto out = std::make_unique<pubsub::SubscriptionServer>(
                         book, names, counters, "n1", pubsub::Epoch{1}, proxies,
-                        pubsub::PaceTerms{.queueMost = kQueueMost}, pubsub::LeaseTerms{.stall = 100s}, 4096,
-                        [this]() -> Planner& { return engine.input(); }, [this] { return engine.now(); });
+                        pubsub::FlowControlLimits{.maxQueuedLines = kQueueMost},
+                        pubsub::LeaseConfig{.stallTimeout = 100s}, 4096,
+                        [this]() -> Planner& { return engine.openBatch(); }, [this] { return engine.now(); });
                     hub = out.get();
                     return out;
                 },
                 1s);
-            channel->be(pubsub::Channel::Place{"127.0.0.1:0", proxies + 100});
+            channel->configure(pubsub::PubsubService::Endpoint{"127.0.0.1:0", proxies + 100});
             return *channel->address();
         }
-        net::Listener::MakePeer make = [this](net::Connection& connection) { return door.peer(connection); };
+        net::Listener::MakePeer make = [this](net::Connection& connection) {
+            return door.accept(connection);
+        };
         if (front == Front::WholeTables) {
             whole.emplace(book, names, planner);
-            whole->input = [this]() -> Planner& { return engine.input(); };
+            whole->input = [this]() -> Planner& { return engine.openBatch(); };
             make = [this](net::Connection& connection) {
                 return std::make_unique<WholeTables::Reader>(*whole, connection);
             };
         }
         listener = std::make_shared<net::Listener>(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0),
-                                                   proxies + 100, net::Door::kQueueBytesMost, counters, pool,
-                                                   pool, make);
+                                                   proxies + 100, net::SessionAcceptor::kQueueBytesMost,
+                                                   counters, pool, pool, make);
         listener->start();
         return listener->address();
     }
@@ -315,7 +319,8 @@
     {
         Side side(subscribers);
         for (std::size_t k = 0; k < servers; ++k)
-            side.book.setLine({0}, side.names.listed(nameOf(k)), 1 + static_cast<double>(k % 7) / 10);
+            side.book.setWeight({0}, side.names.registerEndpoint(nameOf(k)),
+                                1 + static_cast<double>(k % 7) / 10);
         const auto at = side.listen(front);
         const std::size_t heap = heapBytes();
         const auto start = nowMicros();
@@ -327,7 +332,7 @@
         bool well = answersAtLeast(subscribers);
         out["join_all_ms"] = static_cast<double>(nowMicros() - start) / 1e3;
         out["join_bytes_each"] =
-            static_cast<double>(side.counters.of(net::Count::BytesOut)) / static_cast<double>(subscribers);
+            static_cast<double>(side.counters.of(net::Counter::BytesOut)) / static_cast<double>(subscribers);
         side.until([until = nowMicros() + 300'000] { return nowMicros() > until; });
         out["heap_bytes_each"] = static_cast<double>(heapBytes() - heap) / static_cast<double>(subscribers);
 
@@ -339,7 +344,7 @@
             shared->expected = number;
             const auto from = nowMicros();
             side.planner.orders = orders;
-            side.engine.input();
+            side.engine.openBatch();
             well = side.until([&] { return shared->have[number] >= subscribers; }) && well;
             double last = 0;
             for (std::size_t k = 0; k < subscribers; ++k) {
@@ -351,22 +356,24 @@
         };
         const auto figures = [&](const char* name, const std::function<void(std::size_t)>& orders) {
             delays.clear(), lasts.clear();
-            const auto bytes = side.counters.of(net::Count::BytesOut);
+            const auto bytes = side.counters.of(net::Counter::BytesOut);
             const double cpu = threadCpuMicros();
             for (int k = 0; k < changes; ++k) change([&, k] { orders(static_cast<std::size_t>(k)); });
-            out[name] = {{"p50_ms", percentile(delays, 50)},
-                         {"p99_ms", percentile(delays, 99)},
-                         {"max_ms", percentile(delays, 100)},
-                         {"last_p50_ms", percentile(lasts, 50)},
-                         {"bytes_each", static_cast<double>(side.counters.of(net::Count::BytesOut) - bytes) /
-                                            static_cast<double>(subscribers) / changes},
-                         {"cpu_us_a_change", (threadCpuMicros() - cpu) / changes}};
+            out[name] = {
+                {"p50_ms", percentile(delays, 50)},
+                {"p99_ms", percentile(delays, 99)},
+                {"max_ms", percentile(delays, 100)},
+                {"last_p50_ms", percentile(lasts, 50)},
+                {"bytes_each", static_cast<double>(side.counters.of(net::Counter::BytesOut) - bytes) /
+                                   static_cast<double>(subscribers) / changes},
+                {"cpu_us_a_change", (threadCpuMicros() - cpu) / changes}};
         };
         figures("withdrawal", [&](std::size_t k) {
-            side.book.withdraw(side.names.listed(nameOf(k % servers)), k / servers % 2 == 0);
+            side.book.setExcluded(side.names.registerEndpoint(nameOf(k % servers)), k / servers % 2 == 0);
         });
         figures("line", [&](std::size_t k) {
-            side.book.setLine({0}, side.names.listed(nameOf(k % servers)), 3 + static_cast<double>(k));
+            side.book.setWeight({0}, side.names.registerEndpoint(nameOf(k % servers)),
+                                3 + static_cast<double>(k));
         });
         if (front == Front::Channel) {
             for (const int part : {10, 50, 100}) {
@@ -382,10 +389,11 @@
             shared->expected = 0;
             for (int k = 0; k < 200; ++k) {
                 side.planner.orders = [&, k] {
-                    side.book.setLine({0}, side.names.listed(nameOf(static_cast<std::size_t>(k) % servers)),
-                                      9 + k);
+                    side.book.setWeight(
+                        {0}, side.names.registerEndpoint(nameOf(static_cast<std::size_t>(k) % servers)),
+                        9 + k);
                 };
-                side.engine.input();
+                side.engine.openBatch();
                 side.until([until = nowMicros() + 2'000] { return nowMicros() > until; });
             }
             const auto grown = static_cast<std::int64_t>(heapBytes()) - static_cast<std::int64_t>(before);
@@ -396,7 +404,7 @@
         out["whole"] = well;
         kill(pid, SIGKILL);
         waitpid(pid, nullptr, 0);
-        if (side.channel) side.channel->be({});
+        if (side.channel) side.channel->configure({});
         if (side.listener) side.listener->stop();
         side.until([until = nowMicros() + 50'000] { return nowMicros() > until; });
     }
--- a/fuzz/operator.cpp
+++ b/fuzz/operator.cpp
@@ -3,22 +3,22 @@
 #include <cstdlib>
 #include <string_view>
 
-#include "terms/operator_terms.h"
-#include "terms/start_terms.h"
-#include "terms/station.h"
+#include "config/operator_config.h"
+#include "config/start_file.h"
+#include "config/start_settings.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     using namespace zincstack;
     const std::string_view text(reinterpret_cast<const char*>(data), size);
-    const bool sound = terms::faultsOfOperatorText(text).empty();
+    const bool sound = config::findOperatorConfigErrors(text).empty();
     try {
-        terms::readOperatorTerms(text);
+        config::readOperatorConfig(text);
         if (!sound) std::abort(); // check and run must agree
-    } catch (const Malformed&) {
+    } catch (const InputError&) {
         if (sound) std::abort();
     }
     try {
-        terms::readStartTerms(net::readStation(text).flat);
-    } catch (const Malformed&) {}
+        config::readStartSettings(net::readStartFile(text).flat);
+    } catch (const InputError&) {}
     return 0;
 }
--- a/src/client/redial.h
+++ b/src/client/reconnect_backoff.h
@@ -9,16 +9,16 @@
 
 namespace zincstack::client {
 
-struct RedialTerms {
-    Micros first = std::chrono::milliseconds(50); ///< the shortest wait after a failure
-    Micros most = std::chrono::seconds(5);        ///< the longest; waits double in between
-    Micros well = std::chrono::seconds(10);       ///< a stream that held so long clears what failed before it
+struct ReconnectConfig {
+    Micros initialDelay = std::chrono::milliseconds(50); ///< the shortest wait after a failure
+    Micros maxDelay = std::chrono::seconds(5);           ///< the longest; waits double in between
+    Micros resetAfter = std::chrono::seconds(10); ///< a stream that held so long clears what failed before it
 };
 
-class Redial {
+class ReconnectBackoff {
 public:
     /// `addresses`: of planners, one at least; they are tried in turn.
-    Redial(std::size_t addresses, const RedialTerms& terms, std::uint64_t seed)
+    ReconnectBackoff(std::size_t addresses, const ReconnectConfig& terms, std::uint64_t seed)
         : addresses_(addresses), terms_(terms), chance_(static_cast<std::uint32_t>(seed)) {}
 
     struct Call {
@@ -34,7 +34,7 @@
 
 private:
     const std::size_t addresses_;
-    const RedialTerms terms_;
+    const ReconnectConfig terms_;
     std::mt19937 chance_;
     std::size_t address_ = 0;
     unsigned failures_ = 0;
--- a/src/client/subscription.cpp
+++ b/src/client/subscription.cpp
@@ -7,9 +7,9 @@
 namespace zincstack::client {
 
 using pubsub::Frame;
+using pubsub::FrameType;
 using pubsub::Sequence;
 using pubsub::TopicId;
-using pubsub::Type;
 
 namespace {
 
@@ -86,7 +86,7 @@
     return out;
 }
 
-std::string Subscription::turn(Micros now) {
+std::string Subscription::tick(Micros now) {
     now_ = now;
     if (!usable()) return {};
     if (now - heardAt_ > lease_) {
@@ -97,29 +97,29 @@
     }
     if (state_ == State::Greeting || now - saidAt_ < beat_) return {};
     saidAt_ = now;
-    return header(Type::Beat, {}, {});
+    return header(FrameType::Beat, {}, {});
 }
 
-std::string Subscription::usage(std::string_view product, std::uint32_t txns, std::uint32_t voided,
-                                Micros span) {
+std::string Subscription::encodeDemand(std::string_view product, std::uint32_t txns, std::uint32_t voided,
+                                       Micros span) {
     if (!usable() || state_ == State::Greeting) return {};
-    Frame frame{Type::Usage};
-    frame.body = write(pubsub::UsageLine{std::string(product), txns, voided, span});
+    Frame frame{FrameType::Usage};
+    frame.body = write(pubsub::DemandRecord{std::string(product), txns, voided, span});
     return writeFrame(frame, false);
 }
 
 std::string Subscription::farewell(std::string_view reason) {
-    Frame frame{Type::Bye};
-    frame.body = write(pubsub::Parting{std::string(reason), {}});
+    Frame frame{FrameType::Bye};
+    frame.body = write(pubsub::DisconnectNotice{std::string(reason), {}});
     return writeFrame(frame, false);
 }
 
-void Subscription::lost() {
+void Subscription::connectionClosed() {
     std::string none;
     said(Word::Lost, {}, none);
 }
 
-std::string Subscription::header(Type type, TopicId topic, Sequence sequence) const {
+std::string Subscription::header(FrameType type, TopicId topic, Sequence sequence) const {
     Frame frame{type};
     frame.topic = topic;
     frame.epoch = replica_.epoch();
@@ -134,12 +134,12 @@
         {Outcome::Known, Word::Known},     {Outcome::Gap, Word::Gap},
         {Outcome::Foreign, Word::Foreign}, {Outcome::Unusable, Word::Unusable}};
     switch (frame.type) {
-    case Type::Welcome: return Word::Welcome;
-    case Type::Refused:
-    case Type::Bye: return Word::Parted;
-    case Type::Beat: return wordOfBeat(frame);
-    case Type::Snapshot:
-    case Type::Changes: break;
+    case FrameType::Welcome: return Word::Welcome;
+    case FrameType::Refused:
+    case FrameType::Bye: return Word::Parted;
+    case FrameType::Beat: return wordOfBeat(frame);
+    case FrameType::Snapshot:
+    case FrameType::Changes: break;
     default: ++tally_.skipped; return Word::Skipped; // of a later version of the protocol
     }
     if (state_ == State::Greeting) {
@@ -209,7 +209,7 @@
         hello.weight = identity_.weight;
         hello.fresh = fresh_;
         hello.have = replica_.have();
-        Frame out{Type::Hello};
+        Frame out{FrameType::Hello};
         out.body = write(hello);
         reply += writeFrame(out, false);
         return true;
@@ -226,10 +226,10 @@
     }
     case Effect::Answer:
         fresh_ = fresh_ && frame.topic == pubsub::kWithdrawnTopic;
-        reply += header(Type::Applied, frame.topic, replica_.at(frame.topic).value_or(Sequence{}));
+        reply += header(FrameType::Applied, frame.topic, replica_.at(frame.topic).value_or(Sequence{}));
         return true;
     case Effect::AnswerPart: {
-        Frame out{Type::Applied};
+        Frame out{FrameType::Applied};
         out.topic = frame.topic;
         out.epoch = frame.epoch;
         out.sequence = frame.sequence;
@@ -241,12 +241,12 @@
     case Effect::Ask:
         for (const TopicId topic : std::exchange(wanted_, {})) {
             ++tally_.asked;
-            reply += header(Type::Ask, topic, replica_.at(topic).value_or(Sequence{}));
+            reply += header(FrameType::Ask, topic, replica_.at(topic).value_or(Sequence{}));
         }
         return true;
     case Effect::Close:
-        if (frame.type == Type::Bye || frame.type == Type::Refused)
-            parting_ = pubsub::readParting(frame.body), refused_ = frame.type == Type::Refused;
+        if (frame.type == FrameType::Bye || frame.type == FrameType::Refused)
+            parting_ = pubsub::readParting(frame.body), refused_ = frame.type == FrameType::Refused;
         return true;
     }
     return false;
--- a/src/client/subscription.h
+++ b/src/client/subscription.h
@@ -33,25 +33,25 @@
     std::string feed(std::string_view bytes, Micros now);
     /// To be called each tenth of a second or so: a sign of life if one is due. A planner that has been silent
     /// for the length of the lease is given up.
-    std::string turn(Micros now);
+    std::string tick(Micros now);
     /// What its txns came to since the last such line.
-    std::string usage(std::string_view product, std::uint32_t txns, std::uint32_t voided, Micros span);
+    std::string encodeDemand(std::string_view product, std::uint32_t txns, std::uint32_t voided, Micros span);
     /// The last frame of a stream that this side ends.
     std::string farewell(std::string_view reason);
     /// The stream has ended.
-    void lost();
+    void connectionClosed();
 
     enum class State : std::uint8_t { Apart, Greeting, CatchingUp, Live, Behind, Any };
     State state() const { return state_; }
     bool usable() const { return state_ != State::Apart; }
     const pubsub::Replica& replica() const { return replica_; }
     /// The planner's last words on the last stream, and when to come back.
-    const std::optional<pubsub::Parting>& parting() const { return parting_; }
+    const std::optional<pubsub::DisconnectNotice>& disconnectNotice() const { return parting_; }
     /// They were a refusal: the same greeting will be refused again.
     bool refused() const { return refused_; }
     const std::string& planner() const { return planner_; }
     /// Why the last stream could not be used further, in one line; empty where it just ended.
-    const std::string& fault() const { return fault_; }
+    const std::string& lastError() const { return fault_; }
 
     struct Tally {
         std::uint64_t applied = 0, known = 0, gaps = 0, foreign = 0, unusable = 0, asked = 0, skipped = 0;
@@ -90,7 +90,7 @@
     Word wordOf(const pubsub::Frame& frame);
     Word wordOfBeat(const pubsub::Frame& frame);
     void ask(pubsub::TopicId topic, std::string& reply);
-    std::string header(pubsub::Type type, pubsub::TopicId topic, pubsub::Sequence sequence) const;
+    std::string header(pubsub::FrameType type, pubsub::TopicId topic, pubsub::Sequence sequence) const;
 
     const Identity identity_;
     const Changed changed_;
@@ -100,7 +100,7 @@
     bool refused_ = false;
     bool fresh_ = true; // no table that was ordered has come yet
     std::string planner_, fault_;
-    std::optional<pubsub::Parting> parting_;
+    std::optional<pubsub::DisconnectNotice> parting_;
     Micros now_{}, beat_{}, lease_{}, heardAt_{}, saidAt_{};
     std::map<pubsub::TopicId, std::pair<std::optional<pubsub::Sequence>, int>>
         late_;                            // where, beats without a move
--- a/src/client/link.cpp
+++ b/src/client/subscription_client.cpp
@@ -1,4 +1,4 @@
-#include "client/link.h"
+#include "client/subscription_client.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/co_spawn.hpp>
@@ -10,7 +10,7 @@
 
 #include "net/address.h"
 #include "net/client.h"
-#include "net/fatal.h"
+#include "net/rethrow.h"
 
 namespace zincstack::client {
 
@@ -26,22 +26,23 @@
 
 } // namespace
 
-Link::Link(asio::io_context& io, std::vector<Endpoint> planners, Identity identity, const RedialTerms& terms,
-           std::uint64_t seed, Micros foreignHold, Subscription::Changed changed, Told told)
+SubscriptionClient::SubscriptionClient(asio::io_context& io, std::vector<Endpoint> planners,
+                                       Identity identity, const ReconnectConfig& terms, std::uint64_t seed,
+                                       Micros foreignHold, Subscription::Changed changed, Told told)
     : io_(io), planners_(std::move(planners)), redial_(planners_.size(), terms, seed),
       subscription_(std::move(identity), foreignHold, std::move(changed)), told_(std::move(told)),
       socket_(io), pause_(io), pulse_(io), stalled_(io) {}
 
-Micros Link::now() {
+Micros SubscriptionClient::now() {
     return std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
-void Link::start() {
+void SubscriptionClient::start() {
     asio::co_spawn(io_, run(),
                    [self = shared_from_this()](const std::exception_ptr& failure) { net::rethrow(failure); });
 }
 
-void Link::stop() {
+void SubscriptionClient::stop() {
     if (std::exchange(stopped_, true)) return;
     if (subscription_.usable()) say(subscription_.farewell("the front end ends"));
     error_code ignored;
@@ -49,42 +50,43 @@
     for (auto* timer : {&pause_, &pulse_, &stalled_}) timer->cancel();
 }
 
-void Link::cut() {
+void SubscriptionClient::dropConnection() {
     error_code ignored;
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     socket_.close(ignored);
     stalled_.cancel();
 }
 
-void Link::stall(bool on) {
+void SubscriptionClient::pauseReading(bool on) {
     reading_ = !on;
     if (!on) stalled_.cancel();
 }
 
-void Link::report(std::string_view product, std::uint32_t txns, std::uint32_t voided, Micros span) {
-    say(subscription_.usage(product, txns, voided, span));
+void SubscriptionClient::reportDemand(std::string_view product, std::uint32_t txns, std::uint32_t voided,
+                                      Micros span) {
+    say(subscription_.encodeDemand(product, txns, voided, span));
 }
 
-void Link::tell(const std::string& line) const {
+void SubscriptionClient::tell(const std::string& line) const {
     if (told_) told_(line);
 }
 
-asio::awaitable<void> Link::run() {
+asio::awaitable<void> SubscriptionClient::run() {
     std::size_t address = redial_.address();
     while (!stopped_) {
         const Micros start = now();
         const auto before = streams_;
         co_await converse(planners_[address]);
-        subscription_.lost();
+        subscription_.connectionClosed();
         if (stopped_) co_return;
-        const auto& parting = subscription_.parting();
-        const auto call =
-            redial_.next(streams_ != before ? now() - start : 0us, parting ? parting->again : std::nullopt);
+        const auto& parting = subscription_.disconnectNotice();
+        const auto call = redial_.next(streams_ != before ? now() - start : 0us,
+                                       parting ? parting->retryAfter : std::nullopt);
         address = call.address;
-        const std::string why = parting                          ? "the planner said: " + parting->reason
-                                : !subscription_.fault().empty() ? subscription_.fault()
-                                : streams_ != before             ? "the stream ended"
-                                                                 : "no planner answers";
+        const std::string why = parting                              ? "the planner said: " + parting->reason
+                                : !subscription_.lastError().empty() ? subscription_.lastError()
+                                : streams_ != before                 ? "the stream ended"
+                                                                     : "no planner answers";
         tell(why + "; dialling again in " + std::to_string(call.wait.count() / 1000) + " ms");
         error_code ignored;
         pause_.expires_after(call.wait);
@@ -93,7 +95,7 @@
 }
 
 /// One stream, for as long as it is of use.
-asio::awaitable<void> Link::converse(Endpoint at) {
+asio::awaitable<void> SubscriptionClient::converse(Endpoint at) {
     socket_ = asio::ip::tcp::socket(io_);
     waiting_.clear();
     error_code error = co_await net::connectTo(socket_, at, kConnectMost);
@@ -126,12 +128,12 @@
     socket_.close(error);
 }
 
-void Link::pulse() {
+void SubscriptionClient::pulse() {
     pulse_.expires_after(kPulse);
     pulse_.async_wait([this, weak = weak_from_this()](error_code error) {
         const auto self = weak.lock();
         if (error || !self || !socket_.is_open()) return;
-        say(subscription_.turn(now()));
+        say(subscription_.tick(now()));
         if (subscription_.usable()) return pulse();
         socket_.close(error);
     });
@@ -139,7 +141,7 @@
 
 /// What the socket does not take at once waits for the next thing to say: answers are small, and a planner
 /// that takes none of them is of no use.
-void Link::say(std::string bytes) {
+void SubscriptionClient::say(std::string bytes) {
     if (!socket_.is_open()) return;
     error_code error;
     waiting_ += bytes;
--- a/src/client/link.h
+++ b/src/client/subscription_client.h
@@ -13,31 +13,31 @@
 #include <string>
 #include <vector>
 
-#include "client/redial.h"
+#include "client/reconnect_backoff.h"
 #include "client/subscription.h"
 
 namespace zincstack::client {
 
-class Link : public std::enable_shared_from_this<Link> {
+class SubscriptionClient : public std::enable_shared_from_this<SubscriptionClient> {
 public:
     using Endpoint = boost::asio::ip::tcp::endpoint;
     /// Something that is worth a line for people: a stream came up or ended, and why.
     using Told = std::function<void(const std::string& line)>;
 
     /// `planners`: one at least, tried in turn. `seed`: for the spread of waits.
-    Link(boost::asio::io_context& io, std::vector<Endpoint> planners, Identity identity,
-         const RedialTerms& terms, std::uint64_t seed, Micros foreignHold, Subscription::Changed changed = {},
-         Told told = {});
+    SubscriptionClient(boost::asio::io_context& io, std::vector<Endpoint> planners, Identity identity,
+                       const ReconnectConfig& terms, std::uint64_t seed, Micros foreignHold,
+                       Subscription::Changed changed = {}, Told told = {});
 
     void start();
     /// Says goodbye and dials no more.
     void stop();
     /// Drops the stream without a word, as a broken network does; it dials again. For tests and drills.
-    void cut();
+    void dropConnection();
     /// Reads nothing until it is let go on, as a front end does that stands still. For tests and drills.
-    void stall(bool on);
+    void pauseReading(bool on);
     /// Queues a usage line on the stream that is up, if one is.
-    void report(std::string_view product, std::uint32_t txns, std::uint32_t voided, Micros span);
+    void reportDemand(std::string_view product, std::uint32_t txns, std::uint32_t voided, Micros span);
 
     const Subscription& subscription() const { return subscription_; }
     std::uint64_t streams() const { return streams_; } ///< that came up so far
@@ -52,7 +52,7 @@
 
     boost::asio::io_context& io_;
     const std::vector<Endpoint> planners_;
-    Redial redial_;
+    ReconnectBackoff redial_;
     Subscription subscription_;
     const Told told_;
     boost::asio::ip::tcp::socket socket_;
--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -2,10 +2,10 @@
 
 #include <string_view>
 
-#include "terms/operator_terms.h"
-#include "terms/schemas.h"
-#include "terms/start_terms.h"
-#include "terms/station.h"
+#include "config/operator_config.h"
+#include "config/schemas.h"
+#include "config/start_file.h"
+#include "config/start_settings.h"
 #include "json/schema.h"
 
 namespace zincstack::command {
@@ -14,20 +14,20 @@
 
 /// A start file has terms; the reader itself has the last word on them, where the schema finds nothing.
 std::vector<json::Fault> faultsOfPosting(const json::Value& all, std::string_view text) {
-    auto out = json::faultsOf(all, terms::kPostingSchema);
+    auto out = json::faultsOf(all, config::kPostingSchema);
     if (!out.empty()) return out;
     try {
-        terms::readStartTerms(net::readStation(text).flat);
-    } catch (const Malformed& error) { out.push_back({"/settings", error.what()}); }
+        config::readStartSettings(net::readStartFile(text).flat);
+    } catch (const InputError& error) { out.push_back({"/settings", error.what()}); }
     return out;
 }
 
 std::vector<json::Fault> faultsOfFile(const std::string& file) {
     try {
-        const std::string text = terms::textOfFile(file);
+        const std::string text = config::readFile(file);
         const json::Value all = json::read(text);
-        return all.contains("settings") ? faultsOfPosting(all, text) : terms::faultsOfOperatorText(text);
-    } catch (const Malformed& error) { return {{"", error.what()}}; }
+        return all.contains("settings") ? faultsOfPosting(all, text) : config::findOperatorConfigErrors(text);
+    } catch (const InputError& error) { return {{"", error.what()}}; }
 }
 
 } // namespace
--- a/src/command/run.cpp
+++ b/src/command/run.cpp
@@ -9,18 +9,18 @@
 #include <csignal>
 #include <exception>
 
+#include "config/operator_config.h"
+#include "config/start_file.h"
 #include "discovery/discovery_driver.h"
-#include "engine/engine.h"
+#include "engine/batch_runner.h"
 #include "log/log.h"
 #include "net/address.h"
 #include "net/listener.h"
-#include "net/shares.h"
-#include "platform/door.h"
-#include "platform/intake.h"
+#include "net/resource_budget.h"
+#include "platform/input_translator.h"
 #include "platform/prober.h"
-#include "pubsub/channel.h"
-#include "terms/operator_terms.h"
-#include "terms/station.h"
+#include "platform/session_acceptor.h"
+#include "pubsub/pubsub_service.h"
 
 namespace zincstack::command {
 
@@ -35,7 +35,7 @@
 
 boost::asio::ip::tcp::endpoint addressOf(std::string_view field, const std::string& text) {
     const auto at = net::parseAddress(text);
-    if (!at) throw Malformed("the address " + std::string(field) + " can't be read: '" + text + "'");
+    if (!at) throw InputError("the address " + std::string(field) + " can't be read: '" + text + "'");
     return *at;
 }
 
@@ -46,11 +46,11 @@
 }
 
 /// What the channel's subscribers leave to the rest.
-std::size_t descriptorsLeft(std::uint32_t told, const std::optional<terms::PubsubTerms>& channel) {
+std::size_t descriptorsLeft(std::uint32_t told, const std::optional<config::PubsubConfig>& channel) {
     const std::size_t all = descriptorsMost(told), taken = channel ? channel->subscribers : 0;
     if (taken >= all)
-        throw Malformed("/channel/subscribers: " + std::to_string(taken) + ", and there are " +
-                        std::to_string(all) + " descriptors in all");
+        throw InputError("/channel/subscribers: " + std::to_string(taken) + ", and there are " +
+                         std::to_string(all) + " descriptors in all");
     return all - taken;
 }
 
@@ -63,7 +63,7 @@
     });
 }
 
-void startLog(const terms::LogTerms& terms) {
+void startLog(const config::LogConfig& terms) {
     log::start(terms.json ? log::Format::Json : log::Format::Text, static_cast<log::Level>(terms.least));
 }
 
@@ -73,9 +73,9 @@
     log::info("counters", fields);
 }
 
-std::optional<pubsub::Channel::Place> placeOf(const std::optional<terms::PubsubTerms>& channel) {
+std::optional<pubsub::PubsubService::Endpoint> placeOf(const std::optional<config::PubsubConfig>& channel) {
     if (!channel) return {};
-    return pubsub::Channel::Place{channel->listen, channel->subscribers};
+    return pubsub::PubsubService::Endpoint{channel->listen, channel->subscribers};
 }
 
 /// What a SIGHUP asks for, tried again for some seconds where it fails. Guards against a file that is absent or
@@ -94,10 +94,11 @@
     void attempt(int before) {
         try {
             act_();
-            counters_.add(before == 0 ? net::Count::Reloads : net::Count::ReloadsLate);
+            counters_.add(before == 0 ? net::Counter::Reloads : net::Counter::ReloadsLate);
         } catch (const std::exception& error) {
             if (before == 0)
-                counters_.passedOver(net::Count::ReloadsFailed, std::string(what_) + ": " + error.what());
+                counters_.recordIgnored(net::Counter::ReloadsFailed,
+                                        std::string(what_) + ": " + error.what());
             if (before == kReadsMost) return;
             again_.expires_after(kReadAgain * (1 << before));
             again_.async_wait([this, before](const boost::system::error_code& stopped) {
@@ -112,87 +113,87 @@
     const std::function<void()> act_;
 };
 
-int serve(const net::Station& station, const terms::StartTerms& start, const terms::OperatorTerms& mine,
-          const std::string& operatorFile, HeldSignals& held) {
+int serve(const net::StartFile& station, const config::StartSettings& start,
+          const config::OperatorConfig& mine, const std::string& operatorFile, HeldSignals& held) {
     const auto listen = addressOf("listen", station.listen);
     const auto discovery = addressOf("discovery", station.discovery);
 
     net::Counters counters;
-    const net::Shares shares =
-        net::splitLimits(descriptorsLeft(station.sockets, mine.channel), station.memoryMb,
-                         start.forwarders.count, start.zoneNames.size());
+    const net::ResourceBudget shares =
+        net::divideLimits(descriptorsLeft(station.sockets, mine.channel), station.memoryMb,
+                          start.forwarders.proxyCount, start.zoneNames.size());
     // The pools outlive what the loop still holds when it ends.
     net::BufferPool lines(shares.lineBlocks), pushes(shares.pushBlocks);
     asio::io_context io(1);
     asio::signal_set end(io, SIGTERM, SIGINT), ask(io, SIGUSR1), reload(io, SIGHUP);
-    net::Names names(start.productNames, start.zoneNames);
-    net::Engine* wakes = nullptr;
+    net::NameRegistry names(start.productNames, start.zoneNames);
+    net::BatchRunner* wakes = nullptr;
     net::Prober* probes = nullptr;
-    orders::OrderBook book(
-        names, counters, [&](ServerId server) { probes->probe(server); },
-        [&](Micros span) { wakes->wakeAfter(span); }, start.channel);
-    net::Outbox outbox(book, names, counters);
+    routing::RoutingState book(
+        names, counters, [&](EndpointId server) { probes->probe(server); },
+        [&](Micros span) { wakes->scheduleWakeUp(span); }, start.channel);
+    net::UpdateQueue outbox(book, names, counters);
     const auto planner = makePlanner(station.seed, start.fleet, start.forwarders, start.channel, start.guards,
                                      start.products, book);
-    net::Engine engine(io, *planner, book, counters, start.tick);
+    net::BatchRunner engine(io, *planner, book, counters, start.tick);
     wakes = &engine;
-    net::Intake intake(engine, book, outbox, names, counters, start.forwarders.count);
+    net::InputTranslator intake(engine, book, outbox, names, counters, start.forwarders.proxyCount);
     net::Prober prober(io, names, intake, counters, lines, shares.probes, start.connectTimeout,
                        !start.reportColumns.empty());
     probes = &prober;
-    net::Door door(intake, counters, lines);
+    net::SessionAcceptor door(intake, counters, lines);
     const auto listener = std::make_shared<net::Listener>(
-        io, listen, shares.peers, net::Door::kQueueBytesMost, counters, lines, pushes,
-        [&](net::Connection& connection) { return door.peer(connection); });
+        io, listen, shares.peers, net::SessionAcceptor::kQueueBytesMost, counters, lines, pushes,
+        [&](net::Connection& connection) { return door.accept(connection); });
     net::DiscoveryWatch watch(
         station.discovery,
-        [&](ListNews news, const json::Value& members) {
+        [&](EndpointListUpdate news, const json::Value& members) {
             const bool used = intake.list(news, members);
-            if (used) door.serve();
+            if (used) door.startServing();
             return used;
         },
         counters, shares.listBytes);
     net::DiscoveryDriver driver(io, discovery, watch, lines);
-    const terms::PubsubTerms channelTerms = mine.channel.value_or(terms::PubsubTerms{});
-    pubsub::Channel channel(
+    const config::PubsubConfig channelTerms = mine.channel.value_or(config::PubsubConfig{});
+    pubsub::PubsubService channel(
         io, counters, pushes,
         [&] {
-            return std::make_unique<pubsub::Hub>(
+            return std::make_unique<pubsub::SubscriptionServer>(
                 book, names, counters, station.name,
-                pubsub::Epoch{static_cast<std::uint64_t>(engine.now().count())}, start.forwarders.count,
-                pubsub::PaceTerms{channelTerms.windowLines, channelTerms.windowBytes, start.channel.queueMost,
-                                  channelTerms.memoryBytes},
-                pubsub::LeaseTerms{.beat = channelTerms.beat,
-                                   .lease = channelTerms.lease,
-                                   .stall = channelTerms.stall,
-                                   .backASecond = channelTerms.backASecond},
-                channelTerms.remembered, [&engine]() -> Planner& { return engine.input(); },
+                pubsub::Epoch{static_cast<std::uint64_t>(engine.now().count())}, start.forwarders.proxyCount,
+                pubsub::FlowControlLimits{channelTerms.windowLines, channelTerms.windowBytes,
+                                          start.channel.maxQueuedLines, channelTerms.memoryBytes},
+                pubsub::LeaseConfig{.heartbeatInterval = channelTerms.heartbeatInterval,
+                                    .leaseDuration = channelTerms.leaseDuration,
+                                    .stallTimeout = channelTerms.stallTimeout,
+                                    .reconnectsPerSecond = channelTerms.reconnectsPerSecond},
+                channelTerms.maxTombstones, [&engine]() -> Planner& { return engine.openBatch(); },
                 [&engine] { return engine.now(); });
         },
-        channelTerms.beat);
-    channel.be(placeOf(mine.channel));
+        channelTerms.heartbeatInterval);
+    channel.configure(placeOf(mine.channel));
 
     if (const auto& members = json::member(station.known, "members"); members.is_array())
-        intake.list(ListNews::Cached, members);
+        intake.list(EndpointListUpdate::Cached, members);
     listener->start();
     driver.start();
     asio::steady_timer first(io, kFirstListMost);
     first.async_wait([&](const boost::system::error_code& error) {
-        if (!error) door.serve();
+        if (!error) door.startServing();
     });
     onEach(end, [&] { io.stop(); });
     onEach(ask, [&] { tell(counters); });
     // Each file is taken or left as a whole; one that can't be used does not keep the other from being read.
     Reload startFile(io, counters, "start file", [&] {
-        const net::Station anew = net::stationOfFileAnew();
+        const net::StartFile anew = net::reloadStartFile();
         driver.move(addressOf("discovery", anew.discovery), anew.discovery);
         log::info("reload", {{"discovery", anew.discovery}});
     });
     Reload operators(io, counters, "operator's file", [&] {
-        const terms::OperatorTerms anew = terms::operatorTermsOfFile(operatorFile);
+        const config::OperatorConfig anew = config::loadOperatorConfig(operatorFile);
         if (anew.channel && !mine.channel)
             descriptorsLeft(station.sockets, anew.channel); // its places are beside those shared out at start
-        channel.be(placeOf(anew.channel));
+        channel.configure(placeOf(anew.channel));
         startLog(anew.log);
         log::info("reload",
                   {{"operator", operatorFile}, {"channel", anew.channel ? anew.channel->listen : "off"}});
@@ -207,7 +208,7 @@
                             {"address", net::textOf(at)},
                             {"products", start.products.size()},
                             {"zones", start.zoneNames.size()},
-                            {"proxies", start.forwarders.count},
+                            {"proxies", start.forwarders.proxyCount},
                             {"room_for_peers", shares.peers},
                             {"probes_at_once", shares.probes}});
     int code = 0;
@@ -228,13 +229,13 @@
 int run(const Run& order, HeldSignals& held) {
     startLog({});
     try {
-        const terms::OperatorTerms mine = terms::operatorTermsOfFile(order.operatorFile);
+        const config::OperatorConfig mine = config::loadOperatorConfig(order.operatorFile);
         startLog(mine.log);
-        const net::Station station = net::stationOfEnvironment();
-        const auto start = terms::readStartTerms(station.flat);
+        const net::StartFile station = net::loadStartFile();
+        const auto start = config::readStartSettings(station.flat);
         for (const auto& line : start.notices) log::warn("start_terms", {{"notice", line}});
         return serve(station, start, mine, order.operatorFile, held);
-    } catch (const Malformed& error) {
+    } catch (const InputError& error) {
         log::critical("unusable", {{"what", error.what()}});
         return 2;
     } catch (const std::exception& error) {
--- a/src/command/standin.cpp
+++ b/src/command/standin.cpp
@@ -8,10 +8,10 @@
 #include <filesystem>
 #include <functional>
 
+#include "config/operator_config.h"
 #include "log/log.h"
 #include "net/address.h"
 #include "standin/agent_driver.h"
-#include "terms/operator_terms.h"
 
 namespace zincstack::command {
 
@@ -26,10 +26,10 @@
 }
 json::Value membersOf(const std::string& file) {
     try {
-        return json::member(json::read(terms::textOfFile(file)), "members");
-    } catch (const Malformed& error) {
+        return json::member(json::read(config::readFile(file)), "members");
+    } catch (const InputError& error) {
         const std::string what = error.what();
-        throw Malformed(what.starts_with(file) ? what : file + ": " + what);
+        throw InputError(what.starts_with(file) ? what : file + ": " + what);
     }
 }
 
@@ -37,7 +37,7 @@
 
 int standin(const Standin& order) {
     const auto at = net::parseAddress(order.listen);
-    if (!at) throw Malformed("standin: no address: '" + order.listen + "'");
+    if (!at) throw InputError("standin: no address: '" + order.listen + "'");
     log::start(log::Format::Text, log::Level::Info);
     standin::ListAgent agent;
     agent.set(membersOf(order.file));
@@ -62,7 +62,7 @@
                     agent.set(membersOf(order.file));
                     log::info("list", {{"revision", agent.revision()}});
                     driver.poke();
-                } catch (const Malformed& fault) { log::warn("list_unusable", {{"what", fault.what()}}); }
+                } catch (const InputError& fault) { log::warn("list_unusable", {{"what", fault.what()}}); }
             }
             look();
         });
--- a/src/command/standin.h
+++ b/src/command/standin.h
@@ -5,7 +5,7 @@
 
 namespace zincstack::command {
 
-/// Runs until a signal; the exit code. Throws Malformed where an address or the first list can't be used.
+/// Runs until a signal; the exit code. Throws InputError where an address or the first list can't be used.
 int standin(const Standin& order);
 
 } // namespace zincstack::command
--- a/src/command/subscribe.cpp
+++ b/src/command/subscribe.cpp
@@ -7,9 +7,9 @@
 #include <map>
 #include <random>
 
-#include "client/link.h"
+#include "client/subscription_client.h"
+#include "errors/input_error.h"
 #include "net/address.h"
-#include "terms/malformed.h"
 #include "json/json.h"
 
 namespace zincstack::command {
@@ -21,12 +21,12 @@
 /// Prints what differs from what was printed last.
 class Printer {
 public:
-    Printer(bool json, const client::Link* const& link) : json_(json), link_(link) {}
+    Printer(bool json, const client::SubscriptionClient* const& link) : json_(json), link_(link) {}
 
     void changed(std::optional<pubsub::TopicId> topic) {
         if (!topic) return; // it is current: nothing new to show
         const auto& replica = link_->subscription().replica();
-        const Micros now = client::Link::now();
+        const Micros now = client::SubscriptionClient::now();
         for (const auto& [id, table] : replica.tables())
             if (id == *topic || *topic == pubsub::kWithdrawnTopic) show(id, table, now);
         std::fflush(stdout);
@@ -36,11 +36,11 @@
 private:
     struct Shown {
         std::map<std::string, double> lines; ///< that may be picked
-        std::map<std::string, pubsub::Level> levels;
+        std::map<std::string, pubsub::AdmissionLimit> levels;
     };
-    void show(pubsub::TopicId id, const pubsub::Table& table, Micros now) {
+    void show(pubsub::TopicId id, const pubsub::RoutingTable& table, Micros now) {
         const auto& replica = link_->subscription().replica();
-        Shown next{{}, table.levels};
+        Shown next{{}, table.admission};
         for (const auto& [server, weight] : replica.picks(table, now)) next.lines[server] = weight;
         const auto found = shownOf_.find(id);
         const bool first = found == shownOf_.end();
@@ -54,22 +54,22 @@
             asText(id, table, before, next, sequence, first);
         shownOf_[id] = std::move(next);
     }
-    void asJson(pubsub::TopicId id, const pubsub::Table& table, const Shown& now,
+    void asJson(pubsub::TopicId id, const pubsub::RoutingTable& table, const Shown& now,
                 std::uint64_t sequence) const {
         nlohmann::ordered_json out{{"topic", id.value},
                                    {"epoch", link_->subscription().replica().epoch().value},
                                    {"sequence", sequence},
-                                   {"products", table.products},
+                                   {"products", table.requestClasses},
                                    {"lines", now.lines}};
         auto& levels = out["levels"] = nlohmann::ordered_json::object();
         for (const auto& [product, level] : now.levels)
-            levels[product] = {{"level", level.level}, {"tries", static_cast<int>(level.tries)}};
+            levels[product] = {{"level", level.limit}, {"tries", static_cast<int>(level.retryPolicy)}};
         std::printf("%s\n", out.dump().c_str());
     }
-    static void asText(pubsub::TopicId id, const pubsub::Table& table, const Shown& before, const Shown& now,
-                       std::uint64_t sequence, bool first) {
+    static void asText(pubsub::TopicId id, const pubsub::RoutingTable& table, const Shown& before,
+                       const Shown& now, std::uint64_t sequence, bool first) {
         std::string products;
-        for (const auto& one : table.products) products += (products.empty() ? "" : "+") + one;
+        for (const auto& one : table.requestClasses) products += (products.empty() ? "" : "+") + one;
         std::printf("table %u for %s, change %llu: %zu servers\n", id.value, products.c_str(),
                     static_cast<unsigned long long>(sequence), now.lines.size());
         for (const auto& [server, weight] : now.lines) {
@@ -84,11 +84,11 @@
         for (const auto& [product, level] : now.levels)
             if (const auto was = before.levels.find(product);
                 was == before.levels.end() || !(was->second == level))
-                std::printf("  %s let in: %g\n", product.c_str(), level.level);
+                std::printf("  %s let in: %g\n", product.c_str(), level.limit);
     }
 
     const bool json_;
-    const client::Link* const& link_;
+    const client::SubscriptionClient* const& link_;
     std::uint32_t shown_ = 0;
     std::map<pubsub::TopicId, Shown> shownOf_;
 };
@@ -96,20 +96,20 @@
 } // namespace
 
 int subscribe(const Subscribe& order) {
-    std::vector<client::Link::Endpoint> planners;
+    std::vector<client::SubscriptionClient::Endpoint> planners;
     for (const auto& text : order.planners) {
         const auto at = net::parseAddress(text);
-        if (!at) throw Malformed("subscribe: no address: '" + text + "'");
+        if (!at) throw InputError("subscribe: no address: '" + text + "'");
         planners.push_back(*at);
     }
     boost::asio::io_context io(1);
     boost::asio::signal_set end(io, SIGTERM, SIGINT);
-    const client::Link* shared = nullptr;
+    const client::SubscriptionClient* shared = nullptr;
     int code = 0;
     Printer printer(order.json, shared);
     const auto proxy = order.proxy ? std::optional(ProxyId{*order.proxy}) : std::nullopt;
-    const auto link = std::make_shared<client::Link>(
-        io, planners, client::Identity{proxy, order.zone, order.weight}, client::RedialTerms{},
+    const auto link = std::make_shared<client::SubscriptionClient>(
+        io, planners, client::Identity{proxy, order.zone, order.weight}, client::ReconnectConfig{},
         std::random_device{}(), kForeignHold,
         [&](std::optional<pubsub::TopicId> topic) {
             printer.changed(topic);
@@ -118,7 +118,7 @@
         [&](const std::string& told) {
             std::fprintf(stderr, "%s\n", told.c_str());
             const auto& mine = shared->subscription();
-            if (!mine.refused() || mine.parting()->again) return;
+            if (!mine.refused() || mine.disconnectNotice()->retryAfter) return;
             code = 2; // it would be refused again
             io.stop();
         });
--- a/src/command/subscribe.h
+++ b/src/command/subscribe.h
@@ -5,7 +5,7 @@
 
 namespace zincstack::command {
 
-/// Runs until a signal or so many changes; the exit code, 2 if a planner refuses it for good. Throws Malformed where an address can't be read.
+/// Runs until a signal or so many changes; the exit code, 2 if a planner refuses it for good. Throws InputError where an address can't be read.
 int subscribe(const Subscribe& order);
 
 } // namespace zincstack::command
--- a/src/terms/operator_terms.cpp
+++ b/src/config/operator_config.cpp
@@ -1,14 +1,14 @@
-#include "terms/operator_terms.h"
+#include "config/operator_config.h"
 
 #include <array>
 #include <cmath>
 #include <fstream>
 #include <iterator>
 
+#include "config/schemas.h"
 #include "net/address.h"
-#include "terms/schemas.h"
 
-namespace zincstack::terms {
+namespace zincstack::config {
 
 namespace {
 
@@ -21,11 +21,11 @@
     if (const auto* listen = json::textOf(channel, "listen"); listen && !net::parseAddress(*listen))
         out.push_back({"/channel/listen", "no address: '" + *listen + "'"});
     const json::Value &beat = json::member(channel, "beat_s"), &lease = json::member(channel, "lease_s");
-    const PubsubTerms usual;
+    const PubsubConfig usual;
     const auto secondsOf = [](const json::Value& value, Micros absent) {
         return value.is_number() ? value.get<double>() : static_cast<double>(absent.count()) / 1e6;
     };
-    if (secondsOf(lease, usual.lease) < 2 * secondsOf(beat, usual.beat))
+    if (secondsOf(lease, usual.leaseDuration) < 2 * secondsOf(beat, usual.heartbeatInterval))
         out.push_back({"/channel/lease_s", "a lease shorter than two beats"});
     return out;
 }
@@ -42,27 +42,27 @@
 
 } // namespace
 
-std::string textOfFile(const std::string& path) {
+std::string readFile(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
-    if (!file) throw Malformed(path + ": can't be read");
+    if (!file) throw InputError(path + ": can't be read");
     try {
         std::string out{std::istreambuf_iterator<char>(file), {}};
         if (out.size() <= kFileBytesMost) return out;
-    } catch (const std::ios_base::failure&) { throw Malformed(path + ": can't be read"); } // a folder, say
-    throw Malformed(path + ": too large");
+    } catch (const std::ios_base::failure&) { throw InputError(path + ": can't be read"); } // a folder, say
+    throw InputError(path + ": too large");
 }
 
-std::vector<json::Fault> faultsOfOperatorText(std::string_view text) {
+std::vector<json::Fault> findOperatorConfigErrors(std::string_view text) {
     try {
         return faultsOfTree(json::read(text));
-    } catch (const Malformed& error) { return {{"", error.what()}}; }
+    } catch (const InputError& error) { return {{"", error.what()}}; }
 }
 
-OperatorTerms readOperatorTerms(std::string_view text) {
+OperatorConfig readOperatorConfig(std::string_view text) {
     const json::Value all = json::read(text);
     const auto faults = faultsOfTree(all);
-    if (!faults.empty()) throw Malformed(faults[0].pointer + ": " + faults[0].what);
-    OperatorTerms out;
+    if (!faults.empty()) throw InputError(faults[0].pointer + ": " + faults[0].what);
+    OperatorConfig out;
     const json::Value& log = json::member(all, "log");
     static constexpr std::array<std::string_view, 4> kLevels{"debug", "info", "warn", "critical"};
     if (const auto* format = json::textOf(log, "format")) out.log.json = *format == "json";
@@ -70,29 +70,29 @@
         for (std::uint8_t k = 0; k < kLevels.size(); ++k)
             if (kLevels[k] == *level) out.log.least = k;
     if (const json::Value& channel = json::member(all, "channel"); channel.is_object()) {
-        PubsubTerms& into = out.channel.emplace();
+        PubsubConfig& into = out.channel.emplace();
         take(channel, "listen", into.listen);
         take(channel, "subscribers", into.subscribers);
         take(channel, "window_lines", into.windowLines);
         take(channel, "window_bytes", into.windowBytes);
         take(channel, "memory_bytes", into.memoryBytes);
-        take(channel, "remembered", into.remembered);
-        take(channel, "beat_s", into.beat);
-        take(channel, "lease_s", into.lease);
-        take(channel, "stall_s", into.stall);
-        take(channel, "back_per_second", into.backASecond);
+        take(channel, "remembered", into.maxTombstones);
+        take(channel, "beat_s", into.heartbeatInterval);
+        take(channel, "lease_s", into.leaseDuration);
+        take(channel, "stall_s", into.stallTimeout);
+        take(channel, "back_per_second", into.reconnectsPerSecond);
     }
     return out;
 }
 
-OperatorTerms operatorTermsOfFile(const std::string& path) {
+OperatorConfig loadOperatorConfig(const std::string& path) {
     if (path.empty()) return {};
     try {
-        return readOperatorTerms(textOfFile(path));
-    } catch (const Malformed& error) {
+        return readOperatorConfig(readFile(path));
+    } catch (const InputError& error) {
         const std::string what = error.what();
-        throw Malformed(what.starts_with(path) ? what : path + ": " + what);
+        throw InputError(what.starts_with(path) ? what : path + ": " + what);
     }
 }
 
-} // namespace zincstack::terms
+} // namespace zincstack::config
--- a/src/terms/station.cpp
+++ b/src/config/start_file.cpp
@@ -1,4 +1,4 @@
-#include "terms/station.h"
+#include "config/start_file.h"
 
 #include <algorithm>
 #include <charconv>
@@ -19,7 +19,7 @@
 const std::string& required(const json::Value& from, const char* name) {
     const auto* text = json::textOf(from, name);
     if (!text || text->empty())
-        throw Malformed("configuration: the field " + std::string(name) + " is missing or no text");
+        throw InputError("configuration: the field " + std::string(name) + " is missing or no text");
     return *text;
 }
 /// A limit, or `absent` where it is not told.
@@ -27,8 +27,8 @@
     const json::Value& value = json::member(limits, name);
     if (value.is_null()) return absent;
     if (!value.is_number_unsigned() || value.get<std::uint64_t>() > UINT32_MAX)
-        throw Malformed("configuration: the field limits." + std::string(name) + " is no whole number: '" +
-                        value.dump() + "'");
+        throw InputError("configuration: the field limits." + std::string(name) + " is no whole number: '" +
+                         value.dump() + "'");
     return value.get<std::uint32_t>();
 }
 /// As the simulator's start text would have it.
@@ -41,13 +41,13 @@
     std::uint64_t out = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, 16);
     if (error != std::errc{} || end != text.data() + text.size())
-        throw Malformed("configuration: the field seed is no whole number: '" + text + "'");
+        throw InputError("configuration: the field seed is no whole number: '" + text + "'");
     return out;
 }
 
 } // namespace
 
-void flatten(const json::Value& value, const std::string& path, terms::FlatTerms& into) {
+void flatten(const json::Value& value, const std::string& path, config::FlatSettings& into) {
     const auto below = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
     if (value.is_null()) return;
     if (value.is_object()) {
@@ -65,9 +65,9 @@
     }
 }
 
-Station readStation(std::string_view text) {
+StartFile readStartFile(std::string_view text) {
     const json::Value all = json::read(text);
-    Station out;
+    StartFile out;
     out.name = required(all, "name");
     out.listen = required(all, "listen");
     out.discovery = required(all, "discovery");
@@ -77,24 +77,24 @@
     out.memoryMb = limitOr(out.memoryMb, limits, "memory_mb");
     out.known = json::member(all, "known");
     const json::Value& terms = json::member(all, "settings");
-    if (!terms.is_object()) throw Malformed("configuration: the field settings is missing or no object");
+    if (!terms.is_object()) throw InputError("configuration: the field settings is missing or no object");
     flatten(terms, "", out.flat);
     return out;
 }
 
-Station stationOfFileAnew() {
+StartFile reloadStartFile() {
     const char* path = std::getenv("PROXY_CONFIG");
-    if (!path || !*path) throw Malformed("environment: PROXY_CONFIG is not set");
+    if (!path || !*path) throw InputError("environment: PROXY_CONFIG is not set");
     std::ifstream file(path, std::ios::binary);
     if (!file)
-        throw Malformed("environment: PROXY_CONFIG names a file that can't be read: '" + std::string(path) +
-                        "'");
+        throw InputError("environment: PROXY_CONFIG names a file that can't be read: '" + std::string(path) +
+                         "'");
     const std::string text{std::istreambuf_iterator<char>(file), {}};
-    return readStation(text);
+    return readStartFile(text);
 }
 
-Station stationOfEnvironment() {
-    Station out = stationOfFileAnew();
+StartFile loadStartFile() {
+    StartFile out = reloadStartFile();
     const std::pair<const char*, std::string&> overriding[] = {
         {"PROXY_NAME", out.name}, {"PROXY_LISTEN", out.listen}, {"PROXY_DISCOVERY", out.discovery}};
     for (const auto& [variable, field] : overriding)
--- a/src/terms/station.h
+++ b/src/config/start_file.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <string_view>
 
-#include "terms/start_terms.h"
+#include "config/start_settings.h"
 #include "json/json.h"
 
 namespace zincstack::net {
 
-struct Station {
+struct StartFile {
     std::string name;
     std::string listen;
     std::string discovery;
@@ -19,18 +19,18 @@
     std::uint32_t sockets = 1024;
     std::uint32_t memoryMb = 192;
     json::Value known; ///< in discovery's form; null where there is none
-    terms::FlatTerms flat;
+    config::FlatSettings flat;
 };
 
 /// Nested values as path=value pairs, in the form of the simulator's start text.
-void flatten(const json::Value& value, const std::string& path, terms::FlatTerms& into);
+void flatten(const json::Value& value, const std::string& path, config::FlatSettings& into);
 
-/// Throws Malformed, naming the field.
-Station readStation(std::string_view text);
+/// Throws InputError, naming the field.
+StartFile readStartFile(std::string_view text);
 
 /// Reads the file that the environment names; name and addresses of the environment go before the file's.
-Station stationOfEnvironment();
+StartFile loadStartFile();
 /// Reads that file again: what the environment says is as old as the start, so the file's fields go first.
-Station stationOfFileAnew();
+StartFile reloadStartFile();
 
 } // namespace zincstack::net
--- a/src/terms/start_terms.cpp
+++ b/src/config/start_settings.cpp
@@ -1,22 +1,22 @@
-#include "terms/start_terms.h"
+#include "config/start_settings.h"
 
 #include <charconv>
 #include <cmath>
 
-namespace zincstack::terms {
+namespace zincstack::config {
 
 namespace {
 
 class Terms {
 public:
-    explicit Terms(const FlatTerms& values) : values_(values) {}
+    explicit Terms(const FlatSettings& values) : values_(values) {}
     const std::string* find(const std::string& path) const {
         const auto at = values_.find(path);
         return at == values_.end() ? nullptr : &at->second;
     }
     const std::string& word(const std::string& path) const {
         const auto* value = find(path);
-        if (!value) throw Malformed("start terms: the required term " + path + " is missing");
+        if (!value) throw InputError("start terms: the required term " + path + " is missing");
         return *value;
     }
     double number(const std::string& path) const { return parse(path, word(path)); }
@@ -29,7 +29,7 @@
     std::uint32_t count(const std::string& path, double most) const {
         const double value = number(path);
         if (value > most || value != std::floor(value))
-            throw Malformed("start terms: " + path + " is no count up to " + std::to_string(most));
+            throw InputError("start terms: " + path + " is no count up to " + std::to_string(most));
         return static_cast<std::uint32_t>(value);
     }
     bool flagOrFalse(const std::string& path) const {
@@ -38,8 +38,8 @@
     }
     static bool flag(const std::string& path, std::string_view value) {
         if (value != "true" && value != "false")
-            throw Malformed("start terms: " + path + " is neither true nor false: '" + std::string(value) +
-                            "'");
+            throw InputError("start terms: " + path + " is neither true nor false: '" + std::string(value) +
+                             "'");
         return value == "true";
     }
 
@@ -49,10 +49,10 @@
         const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), out);
         if (error != std::errc{} || end != value.data() + value.size() || !std::isfinite(out) || out < 0 ||
             out > 1e12)
-            throw Malformed("start terms: " + path + " is no usable number: '" + value + "'");
+            throw InputError("start terms: " + path + " is no usable number: '" + value + "'");
         return out;
     }
-    const FlatTerms& values_;
+    const FlatSettings& values_;
 };
 
 std::vector<std::string> commaList(const std::string* text) {
@@ -67,7 +67,7 @@
 
 /// The value that stands for a word; a word that is not known gets `unknown` and a notice.
 template <class T>
-T translate(StartTerms& out, const std::string& path, const std::string& word,
+T translate(StartSettings& out, const std::string& path, const std::string& word,
             std::initializer_list<std::pair<std::string_view, T>> words, T unknown) {
     for (const auto& [name, value] : words)
         if (name == word) return value;
@@ -77,8 +77,8 @@
 
 } // namespace
 
-FlatTerms splitText(std::string_view text) {
-    FlatTerms out;
+FlatSettings splitText(std::string_view text) {
+    FlatSettings out;
     while (!text.empty()) {
         const auto end = text.find('\n');
         const auto line = text.substr(0, end);
@@ -86,66 +86,67 @@
         const auto equals = line.find('=');
         if (line.empty()) continue;
         if (equals == std::string_view::npos)
-            throw Malformed("start terms: no '=' in line '" + std::string(line.substr(0, 60)) + "'");
+            throw InputError("start terms: no '=' in line '" + std::string(line.substr(0, 60)) + "'");
         out.emplace(line.substr(0, equals), line.substr(equals + 1));
     }
     return out;
 }
 
-StartTerms readStartTerms(const FlatTerms& flat) {
+StartSettings readStartSettings(const FlatSettings& flat) {
     const Terms terms(flat);
-    StartTerms out;
+    StartSettings out;
     out.zoneNames = commaList(&terms.word("Zones"));
-    out.fleet.zones = static_cast<std::uint8_t>(std::min<std::size_t>(out.zoneNames.size(), 255));
-    out.fleet.planners = terms.count("Balancers", 1e6);
-    out.fleet.weightsListed = terms.word("WeightKind") != "none";
-    out.fleet.listMustBeAsked = terms.word("Discovery") == "subscribe";
-    out.fleet.mayProbe = terms.flagOrFalse("Allowed.MayProbe");
-    out.fleet.sumsPeriod = terms.timeOrZero("Extra.PeriodS");
-    out.fleet.sliced = terms.numberOr("Extra.Ranges", 0) > 0;
-
-    out.forwarders.count = terms.count("Extra.DataPlaneSize", 65536);
-    out.forwarders.standingLines = static_cast<std::uint32_t>(terms.numberOr("Extra.Standing", 0));
+    out.fleet.zoneCount = static_cast<std::uint8_t>(std::min<std::size_t>(out.zoneNames.size(), 255));
+    out.fleet.plannerCount = terms.count("Balancers", 1e6);
+    out.fleet.hasEndpointWeights = terms.word("WeightKind") != "none";
+    out.fleet.mustSubscribeToEndpoints = terms.word("Discovery") == "subscribe";
+    out.fleet.probingAllowed = terms.flagOrFalse("Allowed.MayProbe");
+    out.fleet.reportInterval = terms.timeOrZero("Extra.PeriodS");
+    out.fleet.sharded = terms.numberOr("Extra.Ranges", 0) > 0;
+
+    out.forwarders.proxyCount = terms.count("Extra.DataPlaneSize", 65536);
+    out.forwarders.bootstrapTableSize = static_cast<std::uint32_t>(terms.numberOr("Extra.Standing", 0));
     if (const auto* word = terms.find("Extra.ThrottleBy"))
-        out.forwarders.throttle = translate<Throttle>(
+        out.forwarders.throttleMode = translate<ThrottleMode>(
             out, "Extra.ThrottleBy", *word,
-            {{"ratio", Throttle::Share}, {"rps", Throttle::Rate}, {"none", Throttle::None}}, Throttle::None);
+            {{"ratio", ThrottleMode::Fraction}, {"rps", ThrottleMode::Rate}, {"none", ThrottleMode::None}},
+            ThrottleMode::None);
 
     out.channel.linesPerSecond = terms.number("Extra.EgressPerS");
-    out.channel.headLines = terms.number("Extra.Envelope");
-    out.channel.queueMost = terms.number("Extra.QueueCap");
-    out.channel.messagesMost = static_cast<std::uint32_t>(terms.numberOr("Extra.UpdateCap", 0));
-    out.channel.messagesOver = terms.timeOrZero("Extra.UpdateWindowS");
-    out.channel.meanTransit = terms.timeOrZero("Extra.PushDelayS");
-    out.channel.worstTransit = terms.timeOrZero("Extra.WorstTransitS");
-
-    out.guards.bareMost = terms.time("Extra.BlackholeS");
-    out.guards.drainGrace = terms.time("Contract.DrainGraceS");
-    out.guards.coldShare = terms.number("Contract.StartCapacity");
-    out.guards.coldSpan = terms.time("Contract.ColdS");
-    out.guards.fallMultiple = terms.number("Contract.FallMultiple");
-    out.guards.fallSpan = terms.time("Contract.OverloadForS");
-    out.guards.goneBinds = !terms.flagOrFalse("Contract.OnlyDrainingBinds");
+    out.channel.messageOverheadLines = terms.number("Extra.Envelope");
+    out.channel.maxQueuedLines = terms.number("Extra.QueueCap");
+    out.channel.maxMessagesPerProxy = static_cast<std::uint32_t>(terms.numberOr("Extra.UpdateCap", 0));
+    out.channel.messageWindow = terms.timeOrZero("Extra.UpdateWindowS");
+    out.channel.meanTransitTime = terms.timeOrZero("Extra.PushDelayS");
+    out.channel.worstTransitTime = terms.timeOrZero("Extra.WorstTransitS");
+
+    out.guards.maxTimeWithoutEndpoint = terms.time("Extra.BlackholeS");
+    out.guards.drainGracePeriod = terms.time("Contract.DrainGraceS");
+    out.guards.coldCapacityFraction = terms.number("Contract.StartCapacity");
+    out.guards.warmUpDuration = terms.time("Contract.ColdS");
+    out.guards.overloadFactor = terms.number("Contract.FallMultiple");
+    out.guards.overloadDuration = terms.time("Contract.OverloadForS");
+    out.guards.removalIsBinding = !terms.flagOrFalse("Contract.OnlyDrainingBinds");
 
     const auto products = terms.count("Classes.count", 16);
-    if (products == 0) throw Malformed("start terms: Classes.count is 0, and a planner needs a product");
+    if (products == 0) throw InputError("start terms: Classes.count is 0, and a planner needs a product");
     const auto ownZone = commaList(terms.find("Extra.ZoneBound"));
     const auto writes = commaList(terms.find("Extra.ClassWrites"));
     for (std::uint32_t at = 0; at < products; ++at) {
         const std::string path = "Classes." + std::to_string(at) + ".";
-        ProductTerms product;
-        product.slaTime = terms.time(path + "AimS");
-        product.expiry = terms.time(path + "DeadlineS");
-        product.revenue = terms.number(path + "Worth");
-        product.lateRevenue = terms.numberOr(path + "LateWorth", 0);
+        RequestClassConfig product;
+        product.latencyObjective = terms.time(path + "AimS");
+        product.deadline = terms.time(path + "DeadlineS");
+        product.priorityWeight = terms.number(path + "Worth");
+        product.latePriorityWeight = terms.numberOr(path + "LateWorth", 0);
         const auto* effect =
             terms.find(path + "Effect"); // absent is as unknown: it may have run, so never again
-        product.repeatable = translate<Repeatable>(out, path + "Effect", effect ? *effect : "",
-                                                   {{"retryable", Repeatable::InquiryLike},
-                                                    {"dedup", Repeatable::Referenced},
-                                                    {"fragile", Repeatable::OnceOnly}},
-                                                   Repeatable::OnceOnly);
-        product.ownZoneOnly = at < ownZone.size() && Terms::flag("Extra.ZoneBound", ownZone[at]);
+        product.idempotency = translate<Idempotency>(out, path + "Effect", effect ? *effect : "",
+                                                     {{"retryable", Idempotency::Idempotent},
+                                                      {"dedup", Idempotency::IdempotencyKeyed},
+                                                      {"fragile", Idempotency::NonIdempotent}},
+                                                     Idempotency::NonIdempotent);
+        product.zoneLocal = at < ownZone.size() && Terms::flag("Extra.ZoneBound", ownZone[at]);
         product.writes = at >= writes.size() || Terms::flag("Extra.ClassWrites", writes[at]);
         out.products.push_back(product);
         const auto* name = terms.find(path + "Name");
@@ -157,18 +158,18 @@
     return out;
 }
 
-void placeLoad(std::string_view name, double value, LoadReport& into) {
+void setLoadField(std::string_view name, double value, LoadReport& into) {
     static constexpr std::pair<std::string_view, std::optional<double> LoadReport::*> kPlaces[] = {
-        {"busy", &LoadReport::busyShare},
-        {"util", &LoadReport::busyShare},
-        {"q", &LoadReport::waiting},
-        {"queue", &LoadReport::waiting},
-        {"rif", &LoadReport::held},
-        {"inflight", &LoadReport::held},
-        {"lat_ms", &LoadReport::serviceMillis},
-        {"latency_ms", &LoadReport::serviceMillis}};
+        {"busy", &LoadReport::utilization},
+        {"util", &LoadReport::utilization},
+        {"q", &LoadReport::queueLength},
+        {"queue", &LoadReport::queueLength},
+        {"rif", &LoadReport::inFlight},
+        {"inflight", &LoadReport::inFlight},
+        {"lat_ms", &LoadReport::serviceTimeMillis},
+        {"latency_ms", &LoadReport::serviceTimeMillis}};
     for (const auto& [known, place] : kPlaces)
         if (known == name) into.*place = value;
 }
 
-} // namespace zincstack::terms
+} // namespace zincstack::config
--- a/src/terms/start_terms.h
+++ b/src/config/start_settings.h
@@ -7,22 +7,22 @@
 #include <string_view>
 #include <vector>
 
+#include "errors/input_error.h"
 #include "planner/planner.h"
-#include "terms/malformed.h"
 
-namespace zincstack::terms {
+namespace zincstack::config {
 
-using FlatTerms = std::map<std::string, std::string, std::less<>>;
+using FlatSettings = std::map<std::string, std::string, std::less<>>;
 
-/// Splits a text of path=value lines. Throws Malformed where a line has no '='.
-FlatTerms splitText(std::string_view text);
+/// Splits a text of path=value lines. Throws InputError where a line has no '='.
+FlatSettings splitText(std::string_view text);
 
-struct StartTerms {
-    FleetTerms fleet;
-    ForwarderTerms forwarders;
-    ChannelTerms channel;
-    GuardTerms guards;
-    std::vector<ProductTerms> products;
+struct StartSettings {
+    FleetConfig fleet;
+    ProxyFleetConfig forwarders;
+    ControlChannelLimits channel;
+    SafetyLimits guards;
+    std::vector<RequestClassConfig> products;
     std::vector<std::string> productNames;
     std::vector<std::string> zoneNames;
     std::vector<std::string> reportColumns;
@@ -31,10 +31,10 @@
     std::vector<std::string> notices; ///< words that are not known, one line each
 };
 
-/// Throws Malformed, naming the term, where one is missing or no number.
-StartTerms readStartTerms(const FlatTerms& flat);
+/// Throws InputError, naming the term, where one is missing or no number.
+StartSettings readStartSettings(const FlatSettings& flat);
 
 /// Puts a value of a load report where it belongs, by its name on either wire; other names are let pass.
-void placeLoad(std::string_view name, double value, LoadReport& into);
+void setLoadField(std::string_view name, double value, LoadReport& into);
 
-} // namespace zincstack::terms
+} // namespace zincstack::config
--- a/src/discovery/discovery_driver.cpp
+++ b/src/discovery/discovery_driver.cpp
@@ -9,7 +9,7 @@
 #include "log/log.h"
 #include "net/address.h"
 #include "net/client.h"
-#include "net/fatal.h"
+#include "net/rethrow.h"
 
 namespace zincstack::net {
 
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -59,7 +59,7 @@
     const auto row = std::ranges::find_if(kRows, [&](const Row& one) {
         return (one.state == state_ || one.state == State::Any) && one.input == input;
     });
-    counters_.holds(row != std::end(kRows));
+    counters_.checkInvariant(row != std::end(kRows));
     if (row == std::end(kRows)) return {};
     state_ = row->next;
     response_ = HttpResponse(answerMost_);
@@ -67,7 +67,7 @@
     switch (row->effect) {
     case Effect::LeaveAndForget:
         revision_.reset();
-        counters_.passedOver(Count::ListsFailed, "an answer of discovery that can't be used");
+        counters_.recordIgnored(Counter::ListsFailed, "an answer of discovery that can't be used");
         return {};
     case Effect::Forget: revision_.reset(); return {};
     case Effect::Leave: return {};
@@ -89,20 +89,22 @@
                           &complete = json::member(all, "complete"), &members = json::member(all, "members");
         if (!revision.is_number() || !complete.is_boolean() || !members.is_array()) return Input::Unusable;
         if (revision_ && revision.get<double>() < version_ && ++older_ < kOlderMost) {
-            counters_.passedOver(Count::ListsFailed, "version " + revision.dump() + " after " + *revision_);
+            counters_.recordIgnored(Counter::ListsFailed,
+                                    "version " + revision.dump() + " after " + *revision_);
             return Input::Older;
         }
         const bool whole = complete.get<bool>(), anew = std::exchange(older_, 0) >= kOlderMost;
         if (anew && !whole) return Input::Unusable; // changes to a list that is not known
-        if ((whole || !members.empty()) && !told_(whole ? ListNews::Whole : ListNews::Changes, members))
+        if ((whole || !members.empty()) &&
+            !told_(whole ? EndpointListUpdate::Snapshot : EndpointListUpdate::Delta, members))
             return Input::Unusable;
-        counters_.add(whole ? Count::ListsWhole : Count::ListsChanged);
+        counters_.add(whole ? Counter::ListsWhole : Counter::ListsChanged);
         revision_ = revision.dump();
         version_ = revision.get<double>();
         ++answers_;
         return Input::List;
-    } catch (const Malformed& error) {
-        counters_.passedOver(Count::ListsFailed, error.what());
+    } catch (const InputError& error) {
+        counters_.recordIgnored(Counter::ListsFailed, error.what());
         return Input::Unusable;
     }
 }
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -18,7 +18,7 @@
 class DiscoveryWatch {
 public:
     /// False: the members can't be used, and the old list holds.
-    using Told = std::function<bool(ListNews, const json::Value& members)>;
+    using Told = std::function<bool(EndpointListUpdate, const json::Value& members)>;
 
     /// `answerMost`: bytes of one answer.
     DiscoveryWatch(std::string host, Told told, Counters& counters, std::size_t answerMost);
--- a/src/engine/engine.cpp
+++ b/src/engine/batch_runner.cpp
@@ -1,4 +1,4 @@
-#include "engine/engine.h"
+#include "engine/batch_runner.h"
 
 #include <boost/asio/post.hpp>
 
@@ -17,18 +17,18 @@
 
 } // namespace
 
-Engine::Engine(boost::asio::io_context& io, Planner& planner, orders::OrderBook& book, Counters& counters,
-               Micros tick)
+BatchRunner::BatchRunner(boost::asio::io_context& io, Planner& planner, routing::RoutingState& book,
+                         Counters& counters, Micros tick)
     : io_(io), planner_(planner), book_(book), counters_(counters), quiet_(kQuietTicks * tick),
       most_(kMostTicks * tick), gathered_(io), wake_(io) {}
 
-Planner& Engine::input() {
+Planner& BatchRunner::openBatch() {
     ++inputs_;
     lastAt_ = clock_.now();
     if (!open_) {
         open_ = true;
         openedAt_ = lastAt_;
-        planner_.begin(openedAt_);
+        planner_.beginBatch(openedAt_);
         gather();
     }
     return planner_;
@@ -36,7 +36,7 @@
 
 /// Waits until nothing has come for a while. Guards against a batch that closes in the middle of a report:
 /// its second half would be judged alone, and every report after it a period late.
-void Engine::gather() {
+void BatchRunner::gather() {
     gathered_.expires_after(std::min(lastAt_ + quiet_, openedAt_ + most_) - clock_.now());
     gathered_.async_wait([this](const boost::system::error_code& error) {
         if (error) return;
@@ -49,7 +49,7 @@
 }
 
 /// After a stall much is waiting: as long as each turn of the loop brings something, it is taken in first.
-void Engine::settle(int hops) {
+void BatchRunner::settle(int hops) {
     if (inputs_ != settled_ && hops > 0) {
         settled_ = inputs_;
         boost::asio::post(io_, [this, hops] { settle(hops - 1); });
@@ -57,18 +57,18 @@
     }
     open_ = false;
     const Micros now = clock_.now(); // the batch is decided as of now, however long it took to gather
-    counters_.holds(now >= openedAt_);
-    counters_.add(Count::Batches);
-    if (now - openedAt_ > most_ + kLate) counters_.add(Count::LateBatches);
-    planner_.begin(now);
+    counters_.checkInvariant(now >= openedAt_);
+    counters_.add(Counter::Batches);
+    if (now - openedAt_ > most_ + kLate) counters_.add(Counter::LateBatches);
+    planner_.beginBatch(now);
     planner_.decide();
     book_.flush(now);
 }
 
-void Engine::wakeAfter(Micros span) {
+void BatchRunner::scheduleWakeUp(Micros span) {
     wake_.expires_after(std::max(span, Micros{1}));
     wake_.async_wait([this](const boost::system::error_code& error) {
-        if (!error) input().woken();
+        if (!error) openBatch().timerExpired();
     });
 }
 
--- a/src/engine/engine.h
+++ b/src/engine/batch_runner.h
@@ -8,8 +8,8 @@
 #include <chrono>
 
 #include "metrics/counters.h"
-#include "orders/order_book.h"
 #include "planner/planner.h"
+#include "routing/routing_state.h"
 
 namespace zincstack::net {
 
@@ -26,14 +26,14 @@
         std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
 };
 
-class Engine {
+class BatchRunner {
 public:
-    Engine(boost::asio::io_context& io, Planner& planner, orders::OrderBook& book, Counters& counters,
-           Micros tick);
+    BatchRunner(boost::asio::io_context& io, Planner& planner, routing::RoutingState& book,
+                Counters& counters, Micros tick);
 
     /// The planner, in a batch that is open from now on and is decided once nothing more comes.
-    Planner& input();
-    void wakeAfter(Micros span);
+    Planner& openBatch();
+    void scheduleWakeUp(Micros span);
     Micros now() const { return clock_.now(); }
 
 private:
@@ -42,7 +42,7 @@
 
     boost::asio::io_context& io_;
     Planner& planner_;
-    orders::OrderBook& book_;
+    routing::RoutingState& book_;
     Counters& counters_;
     const Micros quiet_, most_;
     const Clock clock_;
--- a/src/terms/malformed.h
+++ b/src/errors/input_error.h
@@ -5,7 +5,7 @@
 
 namespace zincstack {
 
-class Malformed : public std::runtime_error {
+class InputError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -37,7 +37,7 @@
 Value read(std::string_view text, int depthMost) {
     Value out;
     Bounded sax(out, depthMost);
-    if (!Value::sax_parse(text.begin(), text.end(), &sax)) throw Malformed(sax.fault);
+    if (!Value::sax_parse(text.begin(), text.end(), &sax)) throw InputError(sax.fault);
     return out;
 }
 
@@ -45,7 +45,8 @@
     Value out;
     Bounded sax(out, depthMost);
     try {
-        return Value::sax_parse(bytes.begin(), bytes.end(), &sax, Value::input_format_t::cbor) ? out : Value();
+        return Value::sax_parse(bytes.begin(), bytes.end(), &sax, Value::input_format_t::cbor) ? out
+                                                                                               : Value();
     } catch (const Value::exception&) { return {}; } // a size told that no memory holds is thrown, not told
 }
 
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -7,13 +7,13 @@
 #include <string>
 #include <string_view>
 
-#include "terms/malformed.h"
+#include "errors/input_error.h"
 
 namespace zincstack::json {
 
 using Value = nlohmann::json;
 
-/// Throws Malformed with the offset where the text is no JSON or deeper than `depthMost`.
+/// Throws InputError with the offset where the text is no JSON or deeper than `depthMost`.
 Value read(std::string_view text, int depthMost = 32);
 /// Null where the bytes are no CBOR, go on after it, or are deeper than `depthMost`.
 Value readCbor(std::string_view bytes, int depthMost);
--- a/src/load/trace.cpp
+++ b/src/load/trace.cpp
@@ -61,7 +61,7 @@
         if (!product) return "no product";
         into = {at.dump(), *product, caller.is_null() ? "0" : caller.dump()};
         return {};
-    } catch (const Malformed& fault) { return fault.what(); }
+    } catch (const InputError& fault) { return fault.what(); }
 }
 
 } // namespace
--- a/src/load/trace.h
+++ b/src/load/trace.h
@@ -19,7 +19,7 @@
 
 struct Recorded {
     Micros at;
-    ProductId product;
+    RequestClassId product;
     std::uint64_t caller = 0;
     friend bool operator==(const Recorded&, const Recorded&) = default;
 };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,7 +8,7 @@
 #include "command/run.h"
 #include "command/standin.h"
 #include "command/subscribe.h"
-#include "terms/malformed.h"
+#include "errors/input_error.h"
 
 int main(int count, char** words) {
     using namespace zincstack;
@@ -23,7 +23,7 @@
         if (const auto* subscribe = std::get_if<command::Subscribe>(&order))
             return command::subscribe(*subscribe);
         return command::standin(std::get<command::Standin>(order));
-    } catch (const Malformed& error) {
+    } catch (const InputError& error) {
         std::fprintf(stderr, "zincstack: %s\n", error.what());
         return 2;
     } catch (const std::exception& error) {
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -65,13 +65,13 @@
                                        "frames_skipped",
                                        "bad_frames",
                                        "broken_invariants"};
-static_assert(std::size(kNames) == static_cast<std::size_t>(Count::End_));
+static_assert(std::size(kNames) == static_cast<std::size_t>(Counter::End_));
 
 } // namespace
 
-std::string_view nameOf(Count what) { return kNames[static_cast<std::size_t>(what)]; }
+std::string_view nameOf(Counter what) { return kNames[static_cast<std::size_t>(what)]; }
 
-void Counters::passedOver(Count what, std::string_view detail) {
+void Counters::recordIgnored(Counter what, std::string_view detail) {
     add(what);
     const auto now = std::chrono::steady_clock::now();
     auto& told = toldAt_[static_cast<std::size_t>(what)];
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -11,7 +11,7 @@
 
 namespace zincstack::net {
 
-enum class Count : std::uint8_t {
+enum class Counter : std::uint8_t {
     Accepted,
     Closed,
     RefusedFull,
@@ -70,24 +70,24 @@
     BrokenInvariant,
     End_
 };
-std::string_view nameOf(Count what);
+std::string_view nameOf(Counter what);
 
 class Counters {
 public:
-    void add(Count what, std::uint64_t many = 1) { all_[static_cast<std::size_t>(what)] += many; }
-    std::uint64_t of(Count what) const { return all_[static_cast<std::size_t>(what)]; }
+    void add(Counter what, std::uint64_t many = 1) { all_[static_cast<std::size_t>(what)] += many; }
+    std::uint64_t of(Counter what) const { return all_[static_cast<std::size_t>(what)]; }
     /// Counts what was passed over; at most one log line a second tells of each kind.
-    void passedOver(Count what, std::string_view detail);
+    void recordIgnored(Counter what, std::string_view detail);
     /// Asserted in debug builds, counted in release builds.
-    void holds(bool truth) {
+    void checkInvariant(bool truth) {
         assert(truth);
-        if (!truth) passedOver(Count::BrokenInvariant, "");
+        if (!truth) recordIgnored(Counter::BrokenInvariant, "");
     }
     /// All that are not zero, by name.
     std::vector<std::pair<std::string_view, std::uint64_t>> all() const;
 
 private:
-    static constexpr std::size_t kSize = static_cast<std::size_t>(Count::End_);
+    static constexpr std::size_t kSize = static_cast<std::size_t>(Counter::End_);
     std::array<std::uint64_t, kSize> all_{};
     std::array<std::chrono::steady_clock::time_point, kSize> toldAt_{};
 };
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "net/within.h"
+#include "net/with_timeout.h"
 
 namespace zincstack::net {
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "log/log.h"
-#include "net/fatal.h"
+#include "net/rethrow.h"
 
 namespace zincstack::net {
 
@@ -32,14 +32,14 @@
     socket_.non_blocking(true, ignored);
 }
 
-void Connection::start(std::unique_ptr<Peer> peer, std::function<void()> over) {
+void Connection::start(std::unique_ptr<PeerProtocol> peer, std::function<void()> over) {
     peer_ = std::move(peer);
     asio::co_spawn(socket_.get_executor(), read(),
                    [self = shared_from_this(), over = std::move(over)](const std::exception_ptr& failure) {
                        self->close("over");
                        log::debug("connection_closed", {{"reason", self->reason_}});
-                       self->peer_->ended();
-                       self->counters_.add(Count::Closed);
+                       self->peer_->connectionClosed();
+                       self->counters_.add(Counter::Closed);
                        over();
                        if (failure) std::rethrow_exception(failure);
                    });
@@ -53,13 +53,13 @@
 
 /// Guards against a stall in which the time passed while the joining already waited on the socket.
 void Connection::joinNow() {
-    if (!takeIn(1) || !peer_->mayStay()) end("did not join in time");
+    if (!takeIn(1) || !peer_->joinDeadlineExpired()) end("did not join in time");
 }
 
 /// The peer may not read, so no more than the socket takes is written.
 void Connection::end(std::string_view reason) {
     error_code ignored;
-    const auto words = peer_ ? peer_->lastWords() : std::string_view{};
+    const auto words = peer_ ? peer_->farewell() : std::string_view{};
     if (socket_.is_open() && queue_.empty() && !words.empty()) // never in the middle of something else
         socket_.write_some(asio::buffer(words), ignored);
     close(reason);
@@ -121,7 +121,7 @@
     if (queue_.empty()) { // most readers take it at once, and need no turn of the loop of their own
         error_code error;
         sent = socket_.write_some(asio::buffer(*bytes), error);
-        counters_.add(Count::BytesOut, sent);
+        counters_.add(Counter::BytesOut, sent);
     }
     const std::size_t size = bytes->size();
     if (sent == size) return true;
@@ -148,11 +148,11 @@
             close("write: " + error.message()); // the reading side notices and ends the session
             break;
         }
-        counters_.add(Count::BytesOut, sent);
+        counters_.add(Counter::BytesOut, sent);
         head_ += sent;
         queued_ -= sent;
         if (head_ == queue_.front().size) queue_.pop_front(), head_ = 0;
-        if (queued_ == 0 && socket_.is_open()) peer_->drained();
+        if (queued_ == 0 && socket_.is_open()) peer_->writeQueueDrained();
     }
     writing_ = false;
 }
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -13,7 +13,7 @@
 
 #include "metrics/counters.h"
 #include "net/buffer_pool.h"
-#include "net/peer.h"
+#include "net/peer_protocol.h"
 
 namespace zincstack::net {
 
@@ -28,10 +28,10 @@
                const BufferPool::Lease& readInto, std::size_t queueMost);
 
     /// Serves the peer until its end; `over` is called then.
-    void start(std::unique_ptr<Peer> peer, std::function<void()> over);
+    void start(std::unique_ptr<PeerProtocol> peer, std::function<void()> over);
     /// Its time to join is over: it ends, unless what has come by now joins it.
     void joinNow();
-    const Peer& peer() const { return *peer_; }
+    const PeerProtocol& peer() const { return *peer_; }
 
     /// Takes all of the bytes, in blocks of the pool; false if too much waits already, or no block is left.
     bool push(std::string_view bytes);
@@ -62,7 +62,7 @@
     BufferPool& pushes_;
     const BufferPool::Lease& readInto_;
     const std::size_t queueMost_;
-    std::unique_ptr<Peer> peer_;
+    std::unique_ptr<PeerProtocol> peer_;
     std::deque<Piece> queue_;
     std::size_t head_ = 0, queued_ = 0; // written of the first piece; bytes not yet written
     bool writing_ = false;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -4,7 +4,7 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-#include "net/fatal.h"
+#include "net/rethrow.h"
 
 namespace zincstack::net {
 
@@ -59,7 +59,7 @@
         const auto& [since, weak] = newcomers_.front();
         const auto due = since + (full() ? Steady::duration(kJoinIfFull) : kJoinWithin);
         bool early = false;
-        if (const auto peer = weak.lock(); peer && peer->peer().stranger()) {
+        if (const auto peer = weak.lock(); peer && peer->peer().isUnidentified()) {
             early = Steady::now() < due;
             if (!early) peer->joinNow();
         }
@@ -74,7 +74,7 @@
     while (!stopped_) {
         boost::system::error_code error;
         if (full()) {
-            counters_.passedOver(Count::RefusedFull, "peers wait to be taken");
+            counters_.recordIgnored(Counter::RefusedFull, "peers wait to be taken");
             due_.cancel(); // newcomers have less time now
             co_await sleep(room_, Steady::time_point::max());
             continue;
@@ -82,11 +82,11 @@
         auto socket = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, error));
         if (stopped_) co_return;
         if (error) {
-            counters_.passedOver(Count::RefusedFull, error.message());
+            counters_.recordIgnored(Counter::RefusedFull, error.message());
             co_await sleep(room_, Steady::now() + kPause);
             continue;
         }
-        counters_.add(Count::Accepted);
+        counters_.add(Counter::Accepted);
         const auto at =
             peers_.insert(peers_.end(), std::make_shared<Connection>(std::move(socket), counters_, pushes_,
                                                                      readInto_, queueMost_));
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -23,7 +23,7 @@
 class Listener : public std::enable_shared_from_this<Listener> {
 public:
     /// The protocol that a new connection speaks.
-    using MakePeer = std::function<std::unique_ptr<Peer>(Connection&)>;
+    using MakePeer = std::function<std::unique_ptr<PeerProtocol>(Connection&)>;
 
     /// `queueMost`: bytes that wait for one slow reader. Throws boost::system::system_error where the address
     /// can't be listened on.
--- a/src/net/peer.h
+++ b/src/net/peer_protocol.h
@@ -5,21 +5,21 @@
 
 namespace zincstack::net {
 
-class Peer {
+class PeerProtocol {
 public:
-    virtual ~Peer() = default;
+    virtual ~PeerProtocol() = default;
     /// False: nothing more is taken on this connection.
     virtual bool feed(std::string_view bytes) = 0;
     /// The time to join is over. False: it has not, and nothing more is taken.
-    virtual bool mayStay() = 0;
+    virtual bool joinDeadlineExpired() = 0;
     /// It has said nothing yet that makes it more than a connection.
-    virtual bool stranger() const = 0;
+    virtual bool isUnidentified() const = 0;
     /// All that was queued for it has been written.
-    virtual void drained() {}
+    virtual void writeQueueDrained() {}
     /// The connection has ended.
-    virtual void ended() = 0;
+    virtual void connectionClosed() = 0;
     /// Said before the close, as far as the system takes it at once; often nothing.
-    virtual std::string_view lastWords() const { return {}; }
+    virtual std::string_view farewell() const { return {}; }
 };
 
 } // namespace zincstack::net
--- a/src/net/shares.cpp
+++ b/src/net/resource_budget.cpp
@@ -1,4 +1,4 @@
-#include "net/shares.h"
+#include "net/resource_budget.h"
 
 #include <algorithm>
 
@@ -18,8 +18,9 @@
 
 } // namespace
 
-Shares splitLimits(std::size_t sockets, std::size_t memoryMb, std::size_t proxies, std::size_t zones) {
-    Shares out{};
+ResourceBudget divideLimits(std::size_t sockets, std::size_t memoryMb, std::size_t proxies,
+                            std::size_t zones) {
+    ResourceBudget out{};
     const std::size_t free = sockets > 2 * kOwnDescriptors ? sockets - kOwnDescriptors : sockets / 2 + 1;
     const std::size_t steady = proxies + zones;
     const std::size_t left = free > steady ? free - steady : 0;
--- a/src/net/shares.h
+++ b/src/net/resource_budget.h
@@ -6,7 +6,7 @@
 
 namespace zincstack::net {
 
-struct Shares {
+struct ResourceBudget {
     std::size_t peers;      ///< connections at the planner's address
     std::size_t probes;     ///< of servers, at once
     std::size_t lineBlocks; ///< for what peers have begun to say and what calls read
@@ -16,6 +16,7 @@
 
 /// Every proxy and a collector a zone may come to one planner; strangers and streams that overlap take what
 /// is left beside them, and so do probes.
-Shares splitLimits(std::size_t sockets, std::size_t memoryMb, std::size_t proxies, std::size_t zones);
+ResourceBudget divideLimits(std::size_t sockets, std::size_t memoryMb, std::size_t proxies,
+                            std::size_t zones);
 
 } // namespace zincstack::net
--- a/src/planner/channel_credit.cpp
+++ b/src/planner/channel_credit.cpp
@@ -17,27 +17,28 @@
 
 } // namespace
 
-ChannelCredit::Verdict ChannelCredit::admits(ProxyId proxy, double lines, Urgency urgency, double elsewhere,
-                                             Micros now) const {
+ChannelCredit::Admission ChannelCredit::check(ProxyId proxy, double lines, Urgency urgency, double elsewhere,
+                                              Micros now) const {
     const auto found = streams_.find(proxy);
-    if (found == streams_.end() || mustWait(found->second, urgency, now)) return Verdict::ProxyWaits;
-    if (terms_.queueMost <= 0) return Verdict::Go;
-    const double share = urgency == Urgency::Deadline ? kDeadlineShare : kOrdinaryShare;
+    if (found == streams_.end() || mustWait(found->second, urgency, now)) return Admission::ProxyBlocked;
+    if (terms_.maxQueuedLines <= 0) return Admission::Granted;
+    const double share = urgency == Urgency::Deadline ? kDeadlineQueueFraction : kOrdinaryQueueFraction;
     const double after = waiting_ + elsewhere + lines;
-    if (after <= share * terms_.queueMost) return Verdict::Go;
+    if (after <= share * terms_.maxQueuedLines) return Admission::Granted;
     // Guards against a queue that is full of what ended streams were written: only the answer to a later message
     // proves that it has left, so one message at a time goes into the reserve. So does one that is too large otherwise.
-    const bool proves = awaited_ == 0 && after <= terms_.queueMost;
-    return proves ? Verdict::Go : Verdict::QueueFull;
+    const bool proves = awaited_ == 0 && after <= terms_.maxQueuedLines;
+    return proves ? Admission::Granted : Admission::QueueFull;
 }
 
 /// A proxy is written no more messages within the span than the settings allow, and little while it stands still:
 /// what is not written merges meanwhile.
 bool ChannelCredit::mustWait(const Stream& stream, Urgency urgency, Micros now) const {
     const auto recent =
-        std::ranges::count_if(stream.writtenAt, [&](Micros at) { return now - at <= terms_.messagesOver; });
-    if (terms_.messagesMost > 0 && recent >= static_cast<std::ptrdiff_t>(terms_.messagesMost)) return true;
-    if (overdue(stream) > 2 * terms_.worstTransit + kAnswerSlack)
+        std::ranges::count_if(stream.writtenAt, [&](Micros at) { return now - at <= terms_.messageWindow; });
+    if (terms_.maxMessagesPerProxy > 0 && recent >= static_cast<std::ptrdiff_t>(terms_.maxMessagesPerProxy))
+        return true;
+    if (overdue(stream) > 2 * terms_.worstTransitTime + kAnswerSlack)
         return urgency != Urgency::Deadline || stream.unanswered.size() >= kOverdueMost;
     return stream.unanswered.size() >= kUnansweredMost;
 }
@@ -47,12 +48,12 @@
     return std::max(newestAnsweredWrite_ - stream.unanswered.front().writtenAt, Micros{});
 }
 
-void ChannelCredit::streamOpened(ProxyId proxy) {
-    streamEnded(proxy);
+void ChannelCredit::sessionOpened(ProxyId proxy) {
+    sessionEnded(proxy);
     streams_.try_emplace(proxy);
 }
 
-void ChannelCredit::streamEnded(ProxyId proxy) {
+void ChannelCredit::sessionEnded(ProxyId proxy) {
     const auto found = streams_.find(proxy);
     if (found == streams_.end()) return;
     giveUp(found->second);
@@ -70,26 +71,26 @@
     if (lines > 0) ended_.push_back({nextSequence_, lines});
 }
 
-void ChannelCredit::sweep(Micros now) {
+void ChannelCredit::detectSilentSessions(Micros now) {
     if (now - sweptAt_ < kSweepEvery) return;
     sweptAt_ = now;
     for (auto& [proxy, stream] : streams_)
         if (overdue(stream) > kSilentAfter) giveUp(stream);
 }
 
-void ChannelCredit::written(ProxyId proxy, MarkId mark, double lines, Micros now) {
+void ChannelCredit::messageWritten(ProxyId proxy, BarrierId mark, double lines, Micros now) {
     const auto found = streams_.find(proxy);
     if (found == streams_.end()) return;
     Stream& stream = found->second;
     stream.unanswered.push_back({nextSequence_++, mark, lines, now});
     ++awaited_;
     waiting_ += lines;
-    if (terms_.messagesMost == 0) return;
+    if (terms_.maxMessagesPerProxy == 0) return;
     stream.writtenAt.push_back(now);
-    while (now - stream.writtenAt.front() > terms_.messagesOver) stream.writtenAt.pop_front();
+    while (now - stream.writtenAt.front() > terms_.messageWindow) stream.writtenAt.pop_front();
 }
 
-bool ChannelCredit::answered(ProxyId proxy, MarkId mark) {
+bool ChannelCredit::acknowledged(ProxyId proxy, BarrierId mark) {
     const auto found = streams_.find(proxy);
     if (found == streams_.end()) return false;
     auto& messages = found->second.unanswered;
--- a/src/planner/channel_credit.h
+++ b/src/planner/channel_credit.h
@@ -21,40 +21,40 @@
 
 /// Parts of the queue's limit: for what a rule's time limit runs for, and for all else, so that the queue stays short
 /// for what can't wait. The module paces by the same parts, and so does the pub-sub channel.
-inline constexpr double kDeadlineShare = 0.95, kOrdinaryShare = 0.5;
+inline constexpr double kDeadlineQueueFraction = 0.95, kOrdinaryQueueFraction = 0.5;
 
 class ChannelCredit {
 public:
     /// Terms without a limit (`queueMost` of 0) admit everything.
-    explicit ChannelCredit(const ChannelTerms& terms) : terms_(terms) {}
+    explicit ChannelCredit(const ControlChannelLimits& terms) : terms_(terms) {}
 
-    enum class Verdict : std::uint8_t {
-        Go,
-        ProxyWaits, ///< this proxy has been written too many messages, or owes answers for too long
-        QueueFull,  ///< no message of that size and urgency may be written to anybody
+    enum class Admission : std::uint8_t {
+        Granted,
+        ProxyBlocked, ///< this proxy has been written too many messages, or owes answers for too long
+        QueueFull,    ///< no message of that size and urgency may be written to anybody
     };
     /// Whether a message of so many lines may be written to the proxy now. `elsewhere`: lines that wait on
     /// channels of other fronts and count against the same limit.
-    Verdict admits(ProxyId proxy, double lines, Urgency urgency, double elsewhere, Micros now) const;
+    Admission check(ProxyId proxy, double lines, Urgency urgency, double elsewhere, Micros now) const;
 
-    void streamOpened(ProxyId proxy);
+    void sessionOpened(ProxyId proxy);
     /// What was written to the stream may still wait: it counts until a message written after the end is answered.
-    void streamEnded(ProxyId proxy);
+    void sessionEnded(ProxyId proxy);
     /// A message of so many lines that ends with the mark has been handed to the proxy's stream.
-    void written(ProxyId proxy, MarkId mark, double lines, Micros now);
+    void messageWritten(ProxyId proxy, BarrierId mark, double lines, Micros now);
     /// The proxy has answered the mark: that message has left the channel, and so has each one written to it before.
     /// False where no such mark waits for its answer.
-    bool answered(ProxyId proxy, MarkId mark);
+    bool acknowledged(ProxyId proxy, BarrierId mark);
     /// Looks for silent streams, once a second at most: what they were written counts like that of ended ones.
-    void sweep(Micros now);
+    void detectSilentSessions(Micros now);
 
     /// Lines that may still wait in the channel.
-    double waiting() const { return waiting_; }
+    double unacknowledgedLines() const { return waiting_; }
 
 private:
     struct Message {
         std::uint64_t sequence;
-        MarkId mark;
+        BarrierId mark;
         double lines;
         Micros writtenAt;
         bool counted = true; // false: its stream is silent, and its lines are among those of ended ones
@@ -73,7 +73,7 @@
     void giveUp(Stream& stream);
     void returned(double lines);
 
-    const ChannelTerms terms_;
+    const ControlChannelLimits terms_;
     std::map<ProxyId, Stream> streams_;
     std::deque<Ended> ended_; // oldest first
     std::uint64_t nextSequence_ = 0;
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -1,6 +1,6 @@
 // The decision module: which servers each forwarder's tables name, and when orders go out.
 //
-// Callers: makePlanner(), then begin(now), inputs, decide() a batch; orders go to an OrderSink (planner.h).
+// Callers: makePlanner(), then begin(now), inputs, decide() a batch; orders go to an RoutingUpdateSink (planner.h).
 // The ordinary path is the design (docs/design.md): listed weights minus withdrawn servers, gathered over a
 // window, merged into differences, checked against a ledger, sent in rounds, add before shrink.
 // Beside the design stand six mechanisms:
@@ -12,8 +12,8 @@
 //   6 starting over   nothing is trusted after a start: all proxies are bound anew, busiest first
 #include "planner/planner.h"
 #include "planner/channel_credit.h"
-#include "planner/starter_tables.h"
 #include "planner/state.h"
+#include "planner/subset_tables.h"
 
 #include <algorithm>
 #include <cmath>
@@ -82,18 +82,18 @@
     {Phase::Sent, Tick::Answered, Phase::Idle, Move::EndRound}};
 
 /// The design's target: the listed weight of a server that serves, at the fifth to which it has risen.
-double targetOf(const Servers& servers, Index s) {
+double targetOf(const Servers& servers, EndpointIndex s) {
     return servers.serves(s) ? servers.listed[s] * servers.rung[s] / kRungs : 0;
 }
 double targetsOf(const Servers& servers) {
-    return servers.sum([&](Index s) { return targetOf(servers, s); });
+    return servers.sum([&](EndpointIndex s) { return targetOf(servers, s); });
 }
 
 struct Health {
     Servers& servers;
-    OrderSink& sink;
-    const FleetTerms fleet;
-    const GuardTerms guards;
+    RoutingUpdateSink& sink;
+    const FleetConfig fleet;
+    const SafetyLimits guards;
     const Micros shortestSla;
     std::mt19937 chance;
     Micros judgedAt{}, calmAt{};
@@ -102,48 +102,48 @@
     std::set<ZoneId> zonesHeard = {};
     double lines = 0, tried = 0; // heard of all servers
 
-    void list(bool whole, std::span<const ListedServer> entries, Micros now) {
+    void list(bool whole, std::span<const EndpointUpdate> entries, Micros now) {
         // Guards against a list that names running servers gone: where that need not bind, a probe decides.
-        const News ends = guards.goneBinds ? Gone : Lost;
+        const News ends = guards.removalIsBinding ? Gone : Lost;
         std::vector<char> named(servers.size(), 0);
         for (const auto& entry : entries) {
-            const Index s = servers.add(entry);
+            const EndpointIndex s = servers.add(entry);
             if (s < named.size()) named[s] = 1;
-            servers.listed[s] = fleet.weightsListed && entry.weight > 0 ? entry.weight : 1;
+            servers.listed[s] = fleet.hasEndpointWeights && entry.weight > 0 ? entry.weight : 1;
             const bool fresh = entry.startedAt > std::exchange(servers.startedAt[s], entry.startedAt);
             const News news[] = {ends, fresh ? Fresh : Ready, Drains};
             tell(s, news[static_cast<int>(entry.state)], now);
         }
-        for (Index s = 0; whole && s < named.size(); ++s)
+        for (EndpointIndex s = 0; whole && s < named.size(); ++s)
             if (!named[s]) tell(s, ends, now);
     }
 
-    void sums(const ServerSums& line) {
-        const Index* s = servers.find(line.server);
+    void sums(const EndpointLoadReport& line) {
+        const EndpointIndex* s = servers.find(line.endpoint);
         if (!s) return;
-        const double failed = std::min(line.unanswered, line.tries), good = line.tries - failed;
+        const double failed = std::min(line.failures, line.attempts), good = line.attempts - failed;
         sumsCame = true;
         if (good > 0) servers.heard[*s] = 1;
-        zonesHeard.insert(line.proxiesZone);
+        zonesHeard.insert(line.proxyZone);
         servers.linesThen[*s] = ++lines;
-        servers.triedThen[*s] = tried += line.tries;
-        servers.tries[*s] += line.tries;
+        servers.triedThen[*s] = tried += line.attempts;
+        servers.tries[*s] += line.attempts;
         servers.unanswered[*s] += failed;
-        servers.delay[*s] += good * seconds(line.meanDelay);
-        servers.load[*s] = line.report.held.value_or(line.report.waiting.value_or(0));
+        servers.delay[*s] += good * seconds(line.meanLatency);
+        servers.load[*s] = line.load.inFlight.value_or(line.load.queueLength.value_or(0));
         settled += good;
     }
 
     /// Once a period: what do the sums say of each server? Returns the stress of the whole fleet, if heard.
     std::optional<double> judge(double usualSla, Micros now) {
-        if (!sumsCame || now - judgedAt < fleet.sumsPeriod * 9 / 10) return {};
-        const double span = seconds(std::max(judgedAt > 0us ? now - judgedAt : 0us, fleet.sumsPeriod));
+        if (!sumsCame || now - judgedAt < fleet.reportInterval * 9 / 10) return {};
+        const double span = seconds(std::max(judgedAt > 0us ? now - judgedAt : 0us, fleet.reportInterval));
         settledRate = std::exchange(settled, 0) / span;
         triedRate = (tried - std::exchange(triedBefore, tried)) / span;
         sumsCame = false, judgedAt = now;
         double tries = 0;
         std::vector<std::pair<double, double>> pressed, jammed; // part that fails or is late, and the weight
-        for (Index s = 0; s < servers.size(); ++s) {
+        for (EndpointIndex s = 0; s < servers.size(); ++s) {
             if (!servers.serves(s) || servers.tries[s] <= 0) continue;
             const double good = servers.tries[s] - servers.unanswered[s];
             const double mean = good > 0 ? servers.delay[s] / good / usualSla : 1;
@@ -161,7 +161,7 @@
         if (stress <= kOnsetStress) calmAt = now;
         const double all = targetsOf(servers);
         const auto view = static_cast<double>(servers.known() * zonesHeard.size());
-        for (Index s = 0; s < servers.size(); ++s) {
+        for (EndpointIndex s = 0; s < servers.size(); ++s) {
             if (servers.serves(s)) {
                 const double share = servers.failing(s);
                 const bool enough = servers.tries[s] >= kSickTries;
@@ -182,7 +182,7 @@
         return tries >= kSickTries ? std::optional(jam) : std::nullopt;
     }
     void probes(Micros now) {
-        for (Index s = 0; fleet.mayProbe && s < servers.size(); ++s) {
+        for (EndpointIndex s = 0; fleet.probingAllowed && s < servers.size(); ++s) {
             const bool wanted = servers.duty[s] != Serving && servers.duty[s] != Ended;
             if (!wanted || servers.probing[s] || now < servers.probeDue[s]) continue;
             servers.probing[s] = 1;
@@ -192,20 +192,20 @@
     }
 
     void probed(const ProbeResult& result, Micros now) {
-        const Index* found = servers.find(result.server);
+        const EndpointIndex* found = servers.find(result.endpoint);
         if (!found) return;
-        const Index s = *found;
+        const EndpointIndex s = *found;
         servers.probing[s] = 0;
         if (result.status == ProbeStatus::Rejected) return;
         // Some probes are shallow and answered while work hangs or waits: a quick answer clears neither a
         // server that answers next to nothing nor one that holds far more than the others for its weight.
-        const auto held = [&](Index k) { return servers.serves(k) ? servers.load[k] : 0; };
+        const auto held = [&](EndpointIndex k) { return servers.serves(k) ? servers.load[k] : 0; };
         const double usual = servers.sum(held) / targetsOf(servers);
         const double answered = servers.tries[s] - servers.unanswered[s];
         const bool mute = answered <= (1 - kHangShare) * servers.tries[s];
         const bool hung = servers.duty[s] == Suspect && servers.tries[s] >= kSickTries && mute;
-        const bool answers = result.status == ProbeStatus::Answered && result.delay < shortestSla && !hung;
-        const bool heavy = seconds(result.delay) > kSlowProbe * seconds(shortestSla) ||
+        const bool answers = result.status == ProbeStatus::Answered && result.latency < shortestSla && !hung;
+        const bool heavy = seconds(result.latency) > kSlowProbe * seconds(shortestSla) ||
                            servers.load[s] > kHeavy * usual * targetOf(servers, s);
         const bool good = answers && (servers.duty[s] == ShutOut || !heavy);
         servers.goodProbes[s] = good ? servers.goodProbes[s] + 1 : 0;
@@ -226,15 +226,15 @@
         const bool onset = stress > kOnsetStress && now - calmAt < kOnset;
         double listed = 0;
         bool spare = false; // some server is warm: nobody is left without one if a cold one waits
-        for (Index s = 0; s < servers.size(); ++s) {
+        for (EndpointIndex s = 0; s < servers.size(); ++s) {
             listed += servers.serves(s) ? servers.listed[s] : 0;
             spare |= targetOf(servers, s) > 0 && warmth(s, now) >= 1 && !servers.withdrawn[s];
         }
-        for (Index s = 0; s < servers.size(); ++s) {
+        for (EndpointIndex s = 0; s < servers.size(); ++s) {
             if (!servers.serves(s) || servers.rung[s] == kRungs) continue;
             if (!spare) servers.rung[s] = std::max(servers.rung[s], 1);
             const double warm = warmth(s, now);
-            const double able = kFallPart * guards.fallMultiple * warm * (1 - stress) * settledRate *
+            const double able = kFallPart * guards.overloadFactor * warm * (1 - stress) * settledRate *
                                 servers.listed[s] / listed;
             const auto brings = [&](int rung) {
                 const double weight = servers.listed[s] * rung / kRungs;
@@ -253,13 +253,13 @@
         }
     }
 
-    double warmth(Index s, Micros now) const {
-        if (servers.startedAt[s] <= 0us || guards.coldSpan <= 0us) return 1;
-        const double age = seconds(now - servers.startedAt[s]) / seconds(guards.coldSpan);
-        return guards.coldShare + (1 - guards.coldShare) * std::clamp(age, 0.0, 1.0);
+    double warmth(EndpointIndex s, Micros now) const {
+        if (servers.startedAt[s] <= 0us || guards.warmUpDuration <= 0us) return 1;
+        const double age = seconds(now - servers.startedAt[s]) / seconds(guards.warmUpDuration);
+        return guards.coldCapacityFraction + (1 - guards.coldCapacityFraction) * std::clamp(age, 0.0, 1.0);
     }
 
-    void tell(Index s, News news, Micros now) {
+    void tell(EndpointIndex s, News news, Micros now) {
         const auto* row = read(kDuties, servers.duty[s], [&](News input) { return input == news; });
         if (!row || (row->effect == Shut && !mayShut(s))) return;
         if ((row->next == ShutOut) != (servers.duty[s] == ShutOut))
@@ -293,9 +293,11 @@
     }
 
     /// If nearly all looks sick, the view is doubted, not the fleet: health shuts out only so much of it.
-    bool mayShut(Index s) const {
-        const auto out = [&](Index k) { return (servers.duty[k] == ShutOut || k == s) * servers.listed[k]; };
-        const auto all = [&](Index k) { return servers.serves(k) ? servers.listed[k] : out(k); };
+    bool mayShut(EndpointIndex s) const {
+        const auto out = [&](EndpointIndex k) {
+            return (servers.duty[k] == ShutOut || k == s) * servers.listed[k];
+        };
+        const auto all = [&](EndpointIndex k) { return servers.serves(k) ? servers.listed[k] : out(k); };
         return servers.sum(out) <= kDoubtPart * servers.sum(all);
     }
 };
@@ -303,17 +305,17 @@
 /// When messages go out, and to whom first.
 struct Channel {
     Proxies& proxies;
-    OrderSink& sink;
-    const ChannelTerms terms;
+    RoutingUpdateSink& sink;
+    const ControlChannelLimits terms;
     const double standingLines;
-    MessageLedger messages{proxies, terms.headLines};
+    MessageLedger messages{proxies, terms.messageOverheadLines};
     std::optional<Micros> sentAt = {};
     std::uint32_t marks = 0;
 
     /// Where messages to a proxy are counted, the gap alone keeps the count: no batch writes sooner.
     bool open(Micros now) const {
-        return !sentAt || terms.messagesMost < 2 ||
-               now - *sentAt >= terms.messagesOver / (terms.messagesMost - 1);
+        return !sentAt || terms.maxMessagesPerProxy < 2 ||
+               now - *sentAt >= terms.messageWindow / (terms.maxMessagesPerProxy - 1);
     }
     /// Whoever writes the orders counts them as encoded and keeps the limit: here they are only paced.
     bool counted() const { return sink.pendingLines().has_value(); }
@@ -323,12 +325,12 @@
     }
     /// Whether an urgent order of so many lines may be given.
     bool hasRoom(double each) const {
-        return counted() || kDeadlineShare * terms.queueMost - messages.lines() >= each;
+        return counted() || kDeadlineQueueFraction * terms.maxQueuedLines - messages.lines() >= each;
     }
     /// For what can wait, beside what is on its way: the queue stays short for what can't.
     double spare(Micros span) const {
-        const double most = terms.linesPerSecond * seconds(terms.meanTransit + span);
-        return std::min(most, kOrdinaryShare * terms.queueMost) - lines();
+        const double most = terms.linesPerSecond * seconds(terms.meanTransitTime + span);
+        return std::min(most, kOrdinaryQueueFraction * terms.maxQueuedLines) - lines();
     }
 
     /// Proxies that keep an old table are bound a few at a time, busiest first.
@@ -347,7 +349,7 @@
             const double before = messages.stagedLines;
             for (const auto& table : tables) {
                 if (table.starterOf || !table.serves(proxy)) continue;
-                sink.bind(id, table.products, table.id);
+                sink.assignTable(id, table.products, table.id);
                 const auto others = static_cast<double>(out + std::ssize(table.levels));
                 messages.stage(proxy, 1 + table.rows() + others);
             }
@@ -359,19 +361,20 @@
     /// most of these lines change nothing, and a table without them is short of a few servers at worst.
     void letBack(const Servers& servers) {
         for (auto& [id, proxy] : proxies) {
-            if (!proxy.bound || std::exchange(proxy.cleared, true) || !sink.letBack(id, servers.size()))
+            if (!proxy.bound || std::exchange(proxy.cleared, true) ||
+                !sink.clearStaleExclusions(id, servers.size()))
                 continue;
-            messages.stage(proxy, servers.sum([&](Index s) { return targetOf(servers, s) > 0; }));
+            messages.stage(proxy, servers.sum([&](EndpointIndex s) { return targetOf(servers, s) > 0; }));
             if (spare(kIdle) <= 0) return;
         }
     }
 
     /// Closes the message of every proxy that something was ordered for with a mark; marks wrap under 65536.
-    std::optional<MarkId> send(Micros now) {
-        if (messages.stagedLines <= 0 && !sink.needsMark()) return {};
+    std::optional<BarrierId> send(Micros now) {
+        if (messages.stagedLines <= 0 && !sink.needsBarrier()) return {};
         marks = marks % 65535 + 1;
-        const MarkId mark{static_cast<std::uint16_t>(marks)};
-        sink.mark(mark, false);
+        const BarrierId mark{static_cast<std::uint16_t>(marks)};
+        sink.requestBarrier(mark, false);
         messages.close(mark, now);
         sentAt = now;
         return mark;
@@ -380,11 +383,11 @@
 
 /// How much of each product is let in, and when proxies try again.
 struct Levels {
-    OrderSink& sink;
-    const Throttle throttle;
+    RoutingUpdateSink& sink;
+    const ThrottleMode throttle;
     const Micros period; // of the sums
 
-    const std::vector<ProductTerms> products;
+    const std::vector<RequestClassConfig> products;
     std::vector<double> pass = std::vector<double>(products.size(), 1); // by product: the share let in
     bool limited = false, covered = false; // covered: the sums have told of nearly all that is let in
     Micros blind{};                        // no moves until this has passed
@@ -394,9 +397,9 @@
     double usualSla(const Proxies& proxies) const {
         const auto came = usageOf(proxies, products.size());
         double work = 0, all = 0;
-        for (Index p = 0; p < came.size(); ++p)
-            work += came[p] * seconds(products[p].slaTime), all += came[p];
-        return all > 0 ? work / all : seconds(products[0].slaTime);
+        for (EndpointIndex p = 0; p < came.size(); ++p)
+            work += came[p] * seconds(products[p].latencyObjective), all += came[p];
+        return all > 0 ? work / all : seconds(products[0].latencyObjective);
     }
     /// Txns a second that are let in.
     double asked(const Proxies& proxies) const {
@@ -410,10 +413,10 @@
     void stressed(double stress, double tried, double settled, double weight, const Proxies& proxies) {
         const std::vector<double> came = usageOf(proxies, products.size());
         double passed = 0, work = 0, wanted = 0, spare = 0;
-        for (Index p = 0; p < products.size(); ++p) {
+        for (EndpointIndex p = 0; p < products.size(); ++p) {
             passed += came[p] * pass[p];
-            work += came[p] * pass[p] * seconds(products[p].slaTime);
-            wanted += came[p] * seconds(products[p].slaTime);
+            work += came[p] * pass[p] * seconds(products[p].latencyObjective);
+            wanted += came[p] * seconds(products[p].latencyObjective);
         }
         if (passed <= 0 || weight <= 0) return;
         best = std::max(best * kBestFade, settled * work / passed / weight);
@@ -433,13 +436,15 @@
         if (before != limited)
             sink.log((limited ? "limits: wanted " : "lets all in: wanted ") + text(wanted) + ", best " +
                      text(best * weight) + ", stress " + text(stress));
-        std::vector<Index> order(products.size());
-        std::iota(order.begin(), order.end(), Index{0});
-        const auto worth = [&](Index p) { return products[p].revenue / seconds(products[p].slaTime); };
+        std::vector<EndpointIndex> order(products.size());
+        std::iota(order.begin(), order.end(), EndpointIndex{0});
+        const auto worth = [&](EndpointIndex p) {
+            return products[p].priorityWeight / seconds(products[p].latencyObjective);
+        };
         std::ranges::stable_sort(order, {}, worth);
         if (limited) spare = std::max(0.0, wanted - gain * best * weight);
-        for (const Index p : order) {
-            const double part = came[p] * seconds(products[p].slaTime);
+        for (const EndpointIndex p : order) {
+            const double part = came[p] * seconds(products[p].latencyObjective);
             const double cut = std::min(spare, part * (1 - kProductFloor));
             pass[p] = part > 0 ? 1 - cut / part : 1;
             spare -= cut;
@@ -448,25 +453,26 @@
 
     void order(std::vector<Table>& tables, const Proxies& proxies, Channel& channel) {
         for (auto& table : tables)
-            for (Index p = 0; p < products.size(); ++p) {
+            for (EndpointIndex p = 0; p < products.size(); ++p) {
                 if (!(table.products >> p & 1U) || (table.starterOf && table.holders == 0)) continue;
                 const double level = levelAt(std::min(1.0, pass[p] * table.slowed), p, proxies);
                 double& before = table.levels.try_emplace(p, -1.0).first->second;
                 if (std::abs(level - before) <= kLevelStep * std::max(level, before)) continue;
-                sink.admit(table.id, static_cast<ProductSet>(1U << p), level, FurtherTries::AfterProof);
+                sink.setAdmission(table.id, static_cast<RequestClassSet>(1U << p), level,
+                                  RetryPolicy::AfterProofOfNoEffect);
                 before = level;
                 channel.messages.charge(table, 1);
             }
     }
 
     /// A share as it is; or the rate at each proxy at which that share of the product passes in all.
-    double levelAt(double share, Index p, const Proxies& proxies) const {
-        if (throttle != Throttle::Rate) return share;
+    double levelAt(double share, EndpointIndex p, const Proxies& proxies) const {
+        if (throttle != ThrottleMode::Rate) return share;
         std::vector<double> rates;
         for (const auto& [id, proxy] : proxies) rates.push_back(proxy.usage[p]);
         std::ranges::sort(rates);
         double goal = share * std::accumulate(rates.begin(), rates.end(), 0.0);
-        for (Index k = 0; share < 1 && k < rates.size(); goal -= rates[k++]) {
+        for (EndpointIndex k = 0; share < 1 && k < rates.size(); goal -= rates[k++]) {
             const double even = goal / static_cast<double>(rates.size() - k);
             if (even <= rates[k]) return even;
         }
@@ -480,22 +486,24 @@
     const Health& health;
     Proxies& proxies;
     Channel& channel;
-    OrderSink& sink;
+    RoutingUpdateSink& sink;
     std::vector<Table> tables;
     Phase phase = Phase::Idle;
     Micros batchAt{}, windowAt{}, sentAt{}, againAt{};
-    std::optional<MarkId> mark = {};
+    std::optional<BarrierId> mark = {};
     StarterTables starters;
 
     /// What can't wait: withdrawals, and the shrinking of a server that has just started. Past the ledger.
     void urgent(bool idle, Micros now) {
-        const auto each = static_cast<double>(proxies.size()) * (2 + channel.terms.headLines); // a message
-        for (Index s = 0; s < servers.size(); ++s) {
+        const auto each =
+            static_cast<double>(proxies.size()) * (2 + channel.terms.messageOverheadLines); // a message
+        for (EndpointIndex s = 0; s < servers.size(); ++s) {
             // Guards against growth, and lines for each that joins: no old table is as old as its end.
             const bool past = servers.duty[s] == Ended && servers.withdrawn[s] && !servers.forgotten[s] &&
                               now - servers.changedAt[s] > kEndedLong;
             const auto free = [&](const Table& table) { return table.standing[s] <= 0; };
-            if (past && std::ranges::all_of(tables, free) && sink.forget(servers.id[s])) servers.forget(s);
+            if (past && std::ranges::all_of(tables, free) && sink.forgetEndpoint(servers.id[s]))
+                servers.forget(s);
             if (servers.forgotten[s]) continue;
             const bool out = !servers.serves(s) && !servers.withdrawn[s];
             const bool lowered = health.warmth(s, now) < 1 || (idle && servers.rung[s] < kRungs);
@@ -510,8 +518,8 @@
         // Guards against a table without a line to pick, whatever took the last one: it waits for no round.
         for (auto& table : tables)
             if (!table.starterOf &&
-                servers.sum([&](Index s) { return !servers.withdrawn[s] * table.standing[s]; }) <= 0)
-                for (Index s = 0; s < servers.size(); ++s)
+                servers.sum([&](EndpointIndex s) { return !servers.withdrawn[s] * table.standing[s]; }) <= 0)
+                for (EndpointIndex s = 0; s < servers.size(); ++s)
                     if (target(table, s) > 0 && channel.hasRoom(each)) line(table, s);
     }
 
@@ -520,9 +528,9 @@
     void withdrawAgain(bool idle, Micros now) {
         if (now - againAt < kWindow) return;
         againAt = now;
-        const auto each = static_cast<double>(proxies.size()) * (2 + channel.terms.headLines);
+        const auto each = static_cast<double>(proxies.size()) * (2 + channel.terms.messageOverheadLines);
         const Micros newest = newcomer();
-        for (Index s = 0; s < servers.size(); ++s) {
+        for (EndpointIndex s = 0; s < servers.size(); ++s) {
             const bool ended = servers.duty[s] == Ended; // the sick may wait: no rule ends with them
             if (!servers.forgotten[s] && servers.withdrawn[s] && newest > servers.withdrawnAt[s] &&
                 (ended || idle) && channel.hasRoom(each))
@@ -531,9 +539,9 @@
     }
 
     /// Servers that may get their full part at once: warm, and in this table; any others only where none is warm.
-    std::vector<Index> starterServers(const Table& whole, Micros now) const {
-        std::vector<Index> warm, cold;
-        for (Index s = 0; s < servers.size(); ++s)
+    std::vector<EndpointIndex> starterServers(const Table& whole, Micros now) const {
+        std::vector<EndpointIndex> warm, cold;
+        for (EndpointIndex s = 0; s < servers.size(); ++s)
             if (target(whole, s) > 0 && !servers.withdrawn[s])
                 (health.warmth(s, now) >= 1 ? warm : cold).push_back(s);
         return warm.empty() ? cold : warm;
@@ -542,12 +550,12 @@
     void startJoiners(Micros now) {
         std::vector<std::pair<double, ProxyId>> order;
         for (const auto& [id, proxy] : proxies)
-            if (proxy.keepsOldTable() && sink.rebinds(id)) order.emplace_back(-proxy.rate(), id);
-        const Index wholes = wholeTables();
+            if (proxy.keepsOldTable() && sink.supportsReassignment(id)) order.emplace_back(-proxy.rate(), id);
+        const EndpointIndex wholes = wholeTables();
         if (order.empty() && wholes == tables.size()) return;
         starters.count();
         emptyUnheld();
-        for (Index whole = 0; whole < wholes; ++whole) {
+        for (EndpointIndex whole = 0; whole < wholes; ++whole) {
             if (!tables[whole].used) continue;
             const auto usable = starterServers(tables[whole], now);
             for (const auto& [table, s] : starters.refill(whole, usable)) addRow(tables[table], s);
@@ -557,36 +565,37 @@
         std::ranges::sort(order);
         for (const auto& [rate, id] : order) start(id, wholes);
     }
-    Index wholeTables() const {
-        return static_cast<Index>(
+    EndpointIndex wholeTables() const {
+        return static_cast<EndpointIndex>(
             std::ranges::count_if(tables, [](const Table& table) { return !table.starterOf; }));
     }
-    void addRow(Table& table, Index s) {
+    void addRow(Table& table, EndpointIndex s) {
         table.standing.resize(servers.size(), 0);
         table.standing[s] = targetOf(servers, s);
-        sink.setLine(table.id, servers.id[s], table.standing[s]);
+        sink.setWeight(table.id, servers.id[s], table.standing[s]);
         channel.messages.charge(table, 1);
     }
     /// Starter tables that nobody holds any more are emptied, to be dealt anew for those who join later.
     void emptyUnheld() {
         for (Table& table : tables) {
             if (!table.starterOf || table.holders > 0) continue;
-            for (Index s = 0; s < table.standing.size(); ++s)
-                if (std::exchange(table.standing[s], 0) > 0) sink.setLine(table.id, servers.id[s], 0);
+            for (EndpointIndex s = 0; s < table.standing.size(); ++s)
+                if (std::exchange(table.standing[s], 0) > 0) sink.setWeight(table.id, servers.id[s], 0);
         }
     }
     /// A starter table lets in what its whole table does; from then on its levels follow by themselves.
     void copyLevels(const Table& whole, Table& starter) {
         for (const auto& [product, level] : whole.levels) {
             if (level < 0) continue; // none was ordered yet
-            sink.admit(starter.id, static_cast<ProductSet>(1U << product), level, FurtherTries::AfterProof);
+            sink.setAdmission(starter.id, static_cast<RequestClassSet>(1U << product), level,
+                              RetryPolicy::AfterProofOfNoEffect);
             starter.levels[product] = level;
         }
     }
-    void start(ProxyId id, Index wholes) {
+    void start(ProxyId id, EndpointIndex wholes) {
         Proxy& proxy = proxies[id];
-        std::vector<Index> given;
-        for (Index whole = 0; whole < wholes; ++whole) {
+        std::vector<EndpointIndex> given;
+        for (EndpointIndex whole = 0; whole < wholes; ++whole) {
             if (tables[whole].zone != proxy.zone) continue;
             const auto table = starters.assign(whole, proxy.rate());
             if (!table) return; // no server is left for it: it keeps what it holds
@@ -595,12 +604,12 @@
         }
         proxy.starters = std::move(given);
         double rows = 0;
-        for (const Index t : proxy.starters) {
-            sink.bind(id, tables[t].products, tables[t].id);
+        for (const EndpointIndex t : proxy.starters) {
+            sink.assignTable(id, tables[t].products, tables[t].id);
             rows += 1 + tables[t].rows();
         }
         // An earlier planner may have withdrawn what it names.
-        if (!proxy.onlyStanding && sink.letBack(id, kLetBackFirst)) rows += kLetBackFirst;
+        if (!proxy.onlyStanding && sink.clearStaleExclusions(id, kLetBackFirst)) rows += kLetBackFirst;
         channel.messages.stage(proxy, rows + 1);
     }
 
@@ -633,42 +642,42 @@
     }
 
     /// A zone where no proxy has joined needs no lines.
-    double target(const Table& table, Index s) const {
+    double target(const Table& table, EndpointIndex s) const {
         if (table.starterOf) return table.standing[s] > 0 ? targetOf(servers, s) : 0;
         return table.used && (!table.zoneOnly || servers.zone[s] == table.zone) ? targetOf(servers, s) : 0;
     }
     bool differs() const {
         return std::ranges::any_of(tables, [&](const Table& table) {
             if (table.starterOf) return false;
-            for (Index s = 0; s < servers.size(); ++s)
+            for (EndpointIndex s = 0; s < servers.size(); ++s)
                 if (target(table, s) != table.standing[s]) return true;
             return false;
         });
     }
-    void withdraw(Index s, bool out) {
+    void withdraw(EndpointIndex s, bool out) {
         const bool again = out && servers.withdrawn[s];
-        sink.withdraw(servers.id[s], out);
+        sink.setExcluded(servers.id[s], out);
         servers.withdrawn[s] = out;
         const double named = kOldLines * channel.standingLines / static_cast<double>(servers.known());
         channel.messages.chargeOld(std::min(1.0, named), again ? servers.withdrawnAt[s] : -1us);
         servers.withdrawnAt[s] = batchAt;
     }
-    void line(Table& table, Index s) {
+    void line(Table& table, EndpointIndex s) {
         table.standing[s] = target(table, s);
         if (table.standing[s] > 0 && servers.withdrawn[s]) withdraw(s, false);
-        sink.setLine(table.id, servers.id[s], table.standing[s]);
+        sink.setWeight(table.id, servers.id[s], table.standing[s]);
         channel.messages.charge(table, 1);
     }
 
     struct Node {
         Table* table;
         double demand, whole, raised = 0; // weights: standing, and that its raised lines add
-        std::vector<Index> ups = {}, downs = {};
+        std::vector<EndpointIndex> ups = {}, downs = {};
     };
     /// One step of a round: releases, then the changes that fit, ranked by the servers that they free.
     void step(Micros now) {
         sentAt = now, mark = {};
-        const Index n = servers.size();
+        const EndpointIndex n = servers.size();
         std::vector<double> capacity(n, 0), load(n, 0);
         std::vector<Node> nodes;
         double usage = 0;
@@ -676,7 +685,7 @@
             if (table.starterOf) continue;
             Node node{&table, table.usage(proxies), 0};
             usage += node.demand;
-            for (Index s = 0; s < n; ++s) {
+            for (EndpointIndex s = 0; s < n; ++s) {
                 node.whole += servers.withdrawn[s] ? 0 : table.standing[s];
                 if (target(table, s) > table.standing[s]) {
                     node.ups.push_back(s);
@@ -684,24 +693,24 @@
                 }
                 if (target(table, s) < table.standing[s]) node.downs.push_back(s);
             }
-            for (Index s = 0; s < n; ++s) load[s] += node.demand * part(node, s);
+            for (EndpointIndex s = 0; s < n; ++s) load[s] += node.demand * part(node, s);
             nodes.push_back(std::move(node));
         }
         capacities(capacity, usage);
         bool sent = false;
-        const auto go = [&](const Node& node, Index s) {
+        const auto go = [&](const Node& node, EndpointIndex s) {
             if (channel.spare(kBatch) <= 0) return;
             line(*node.table, s), sent = true;
         };
         for (const auto& node : nodes) // releases; a table that serves nobody and the dead skip the fit check
-            for (const Index s : node.downs)
+            for (const EndpointIndex s : node.downs)
                 if (node.demand <= 0 || node.ups.empty() || !servers.serves(s)) go(node, s);
         std::ranges::stable_sort(nodes, {}, [](const Node& node) { return -std::ssize(node.downs); });
         const Node* least = nullptr;
         double leastRatio = 2, leastPart = 0;
         for (const auto& node : nodes) {
             double fits = 2, over = 0;
-            for (const Index s : node.ups) {
+            for (const EndpointIndex s : node.ups) {
                 const double aim = target(*node.table, s);
                 const double after = aim / (node.whole + node.raised); // the raised lines share the demand
                 const double more = node.demand * (after - part(node, s)), residual = capacity[s] - load[s];
@@ -719,17 +728,17 @@
         // Deadlock: the least loss moves, slowed by the part of its demand that its step brings too much of.
         least->table->slowed = std::clamp(1 - leastRatio * leastPart / least->demand, 0.0, 1.0);
         sink.log("deadlock: " + std::to_string(least->table->id.value) + " at " + text(least->table->slowed));
-        for (const Index s : least->ups) go(*least, s);
+        for (const EndpointIndex s : least->ups) go(*least, s);
     }
-    double part(const Node& node, Index s) const {
+    double part(const Node& node, EndpointIndex s) const {
         return node.whole > 0 && !servers.withdrawn[s] ? node.table->standing[s] / node.whole : 0;
     }
     /// Listed share of heard usage times the headroom; unheard servers count as average.
     void capacities(std::vector<double>& capacity, double usage) const {
         double known = 0, heard = 0;
-        for (Index s = 0; s < servers.size(); ++s)
+        for (EndpointIndex s = 0; s < servers.size(); ++s)
             if (servers.serves(s) && servers.heard[s]) known += servers.listed[s], ++heard;
-        for (Index s = 0; s < servers.size(); ++s)
+        for (EndpointIndex s = 0; s < servers.size(); ++s)
             capacity[s] = targetOf(servers, s) *
                           (servers.heard[s] || heard <= 0 ? 1 : known / heard / servers.listed[s]);
         const double all = std::accumulate(capacity.begin(), capacity.end(), 0.0);
@@ -739,64 +748,67 @@
 
 class Decider final : public Planner {
 public:
-    Decider(std::uint64_t seed, const FleetTerms& fleet, const ForwarderTerms& forwarders,
-            const ChannelTerms& channel, const GuardTerms& guards, std::span<const ProductTerms> products,
-            OrderSink& sink)
-        : sink_(sink), sliced_(fleet.sliced), mustFollow_(fleet.listMustBeAsked),
+    Decider(std::uint64_t seed, const FleetConfig& fleet, const ProxyFleetConfig& forwarders,
+            const ControlChannelLimits& channel, const SafetyLimits& guards,
+            std::span<const RequestClassConfig> products, RoutingUpdateSink& sink)
+        : sink_(sink), sliced_(fleet.sharded), mustFollow_(fleet.mustSubscribeToEndpoints),
           health_(servers_, sink, fleet, guards,
-                  std::ranges::min(products, {}, &ProductTerms::slaTime).slaTime,
+                  std::ranges::min(products, {}, &RequestClassConfig::latencyObjective).latencyObjective,
                   std::mt19937(static_cast<std::uint32_t>(seed))),
-          channel_(proxies_, sink, channel, forwarders.standingLines),
-          levels_(sink, forwarders.throttle, fleet.sumsPeriod, std::vector(products.begin(), products.end())),
+          channel_(proxies_, sink, channel, forwarders.bootstrapTableSize),
+          levels_(sink, forwarders.throttleMode, fleet.reportInterval,
+                  std::vector(products.begin(), products.end())),
           rounds_{.servers = servers_,
                   .health = health_,
                   .proxies = proxies_,
                   .channel = channel_,
                   .sink = sink,
                   .tables = {},
-                  .starters = StarterTables(rounds_.tables, proxies_, servers_, forwarders.standingLines,
+                  .starters = StarterTables(rounds_.tables, proxies_, servers_, forwarders.bootstrapTableSize,
                                             static_cast<std::uint32_t>(seed))} {
         for (const bool zoneOnly : {false, true}) {
-            ProductSet part = 0;
-            for (Index p = 0; p < products.size(); ++p)
-                if (products[p].ownZoneOnly == zoneOnly) part = static_cast<ProductSet>(part | 1U << p);
-            for (std::uint8_t z = 0; part && z < fleet.zones; ++z)
+            RequestClassSet part = 0;
+            for (EndpointIndex p = 0; p < products.size(); ++p)
+                if (products[p].zoneLocal == zoneOnly) part = static_cast<RequestClassSet>(part | 1U << p);
+            for (std::uint8_t z = 0; part && z < fleet.zoneCount; ++z)
                 rounds_.tables.push_back(
                     {{static_cast<std::uint16_t>(rounds_.tables.size())}, {z}, zoneOnly, part});
         }
     }
 
-    void begin(Micros now) override { now_ = now; }
-    void list(ListNews news, std::span<const ListedServer> entries) override {
-        mustFollow_ |= news == ListNews::Failed;
-        if (news != ListNews::Failed) health_.list(news != ListNews::Changes, entries, now_);
+    void beginBatch(Micros now) override { now_ = now; }
+    void updateEndpoints(EndpointListUpdate news, std::span<const EndpointUpdate> entries) override {
+        mustFollow_ |= news == EndpointListUpdate::PollFailed;
+        if (news != EndpointListUpdate::PollFailed)
+            health_.list(news != EndpointListUpdate::Delta, entries, now_);
     }
-    void joined(ProxyId id, ZoneId zone, double usualRate, bool onlyStanding) override {
-        const Index products = levels_.products.size();
-        left(id);
+    void proxyJoined(ProxyId id, ZoneId zone, double usualRate, bool onlyStanding) override {
+        const EndpointIndex products = levels_.products.size();
+        proxyLeft(id);
         const std::vector<double> usage(products, usualRate / static_cast<double>(products));
         proxies_[id] = {
             .zone = zone, .onlyStanding = onlyStanding, .usage = usage, .waiting = {}, .joinedAt = now_};
     }
-    void left(ProxyId id) override { channel_.messages.left(id); }
-    void sums(const ServerSums& line) override { health_.sums(line); }
-    void usage(const UsageSums& line) override {
+    void proxyLeft(ProxyId id) override { channel_.messages.left(id); }
+    void reportLoad(const EndpointLoadReport& line) override { health_.sums(line); }
+    void reportDemand(const DemandReport& line) override {
         const auto found = proxies_.find(line.proxy);
-        if (found == proxies_.end() || line.product.value >= levels_.products.size() || line.span <= 0us)
+        if (found == proxies_.end() || line.requestClass.value >= levels_.products.size() ||
+            line.interval <= 0us)
             return;
-        double& rate = found->second.usage[line.product.value];
-        const double heard = line.txns / seconds(line.span);
-        rate = heard + std::pow(kUsageFade, seconds(line.span)) * (rate - heard);
+        double& rate = found->second.usage[line.requestClass.value];
+        const double heard = line.requests / seconds(line.interval);
+        rate = heard + std::pow(kUsageFade, seconds(line.interval)) * (rate - heard);
     }
-    void applied(ProxyId id, MarkId number) override { channel_.messages.applied(id, number); }
-    void probed(const ProbeResult& result) override { health_.probed(result, now_); }
-    void woken() override { awake_ = false; }
+    void barrierAcknowledged(ProxyId id, BarrierId number) override { channel_.messages.applied(id, number); }
+    void probeCompleted(const ProbeResult& result) override { health_.probed(result, now_); }
+    void timerExpired() override { awake_ = false; }
 
     void decide() override {
         if (sliced_) return;
-        if (!awake_) sink_.wakeAfter(kBeat);
+        if (!awake_) sink_.scheduleWakeUp(kBeat);
         awake_ = true;
-        if (std::exchange(mustFollow_, false)) sink_.followList();
+        if (std::exchange(mustFollow_, false)) sink_.subscribeToEndpoints();
         if (const auto stress = health_.judge(levels_.usualSla(proxies_), now_))
             levels_.stressed(*stress, health_.triedRate, health_.settledRate, targetsOf(servers_), proxies_);
         health_.probes(now_);
@@ -834,15 +846,16 @@
     bool mayWiden() const {
         if (!channel_.counted()) return true;
         double ended = 1;
-        for (Index s = 0; s < servers_.size(); ++s)
+        for (EndpointIndex s = 0; s < servers_.size(); ++s)
             ended += servers_.duty[s] == Ended && !servers_.forgotten[s] &&
-                     servers_.changedAt[s] > now_ - health_.guards.drainGrace;
+                     servers_.changedAt[s] > now_ - health_.guards.drainGracePeriod;
         const auto bound = static_cast<double>(
             std::ranges::count_if(proxies_, [](const auto& one) { return one.second.bound; }));
-        return bound * (channel_.terms.headLines + 1 + ended) <= kOrdinaryShare * channel_.terms.queueMost;
+        return bound * (channel_.terms.messageOverheadLines + 1 + ended) <=
+               kOrdinaryQueueFraction * channel_.terms.maxQueuedLines;
     }
 
-    OrderSink& sink_;
+    RoutingUpdateSink& sink_;
     const bool sliced_;
     bool mustFollow_, awake_ = false;
     Micros now_{};
@@ -856,10 +869,10 @@
 
 } // namespace
 
-std::unique_ptr<Planner> makePlanner(std::uint64_t seed, const FleetTerms& fleet,
-                                     const ForwarderTerms& forwarders, const ChannelTerms& channel,
-                                     const GuardTerms& guards, std::span<const ProductTerms> products,
-                                     OrderSink& sink) {
+std::unique_ptr<Planner> makePlanner(std::uint64_t seed, const FleetConfig& fleet,
+                                     const ProxyFleetConfig& forwarders, const ControlChannelLimits& channel,
+                                     const SafetyLimits& guards, std::span<const RequestClassConfig> products,
+                                     RoutingUpdateSink& sink) {
     return std::make_unique<Decider>(seed, fleet, forwarders, channel, guards, products, sink);
 }
 
--- a/src/planner/state.h
+++ b/src/planner/state.h
@@ -14,7 +14,7 @@
 
 namespace zincstack {
 
-using Index = std::size_t;
+using EndpointIndex = std::size_t;
 
 inline double seconds(Micros span) { return static_cast<double>(span.count()) / 1e6; }
 
@@ -48,9 +48,9 @@
 /// Figures on servers in parallel arrays under a dense index. That of a server that is forgotten goes to the
 /// next new one; what comes late for the old one finds no index by its id.
 struct Servers {
-    std::map<ServerId, Index> index;
-    std::vector<Index> spare; // of servers that are forgotten: ended, and in no table
-    std::vector<ServerId> id;
+    std::map<EndpointId, EndpointIndex> index;
+    std::vector<EndpointIndex> spare; // of servers that are forgotten: ended, and in no table
+    std::vector<EndpointId> id;
     std::vector<ZoneId> zone;
     std::vector<Duty> duty;
     std::vector<Micros> startedAt, probeDue, heldUntil, changedAt, withdrawnAt;
@@ -58,9 +58,9 @@
     std::vector<char> withdrawn, probing, heard, eased, forgotten; // withdrawn: ordered out of all tables
     std::vector<double> listed, tries, unanswered, delay, pressed, load, linesThen, triedThen;
 
-    Index size() const { return id.size(); }
-    Index add(const ListedServer& entry) {
-        const Index next = spare.empty() ? size() : spare.back();
+    EndpointIndex size() const { return id.size(); }
+    EndpointIndex add(const EndpointUpdate& entry) {
+        const EndpointIndex next = spare.empty() ? size() : spare.back();
         const auto [at, fresh] = index.emplace(entry.id, next);
         if (!fresh) return at->second;
         const auto put = [next](auto& figures, auto value) {
@@ -78,53 +78,53 @@
         put(id, entry.id);
         return next;
     }
-    void forget(Index s) {
+    void forget(EndpointIndex s) {
         index.erase(id[s]);
         spare.push_back(s);
         forgotten[s] = 1;
         withdrawn[s] = 0;
     }
-    Index known() const { return index.size(); }
-    const Index* find(ServerId server) const {
+    EndpointIndex known() const { return index.size(); }
+    const EndpointIndex* find(EndpointId server) const {
         const auto found = index.find(server);
         return found == index.end() ? nullptr : &found->second;
     }
     double sum(const auto& figure) const { ///< of a figure, over all servers
         double all = 0;
-        for (Index s = 0; s < size(); ++s) all += figure(s);
+        for (EndpointIndex s = 0; s < size(); ++s) all += figure(s);
         return all;
     }
-    double failing(Index s) const { return tries[s] > 0 ? unanswered[s] / tries[s] : 0; }
+    double failing(EndpointIndex s) const { return tries[s] > 0 ? unanswered[s] / tries[s] : 0; }
     double outShare(ZoneId of) const { ///< the part of a zone's servers that is withdrawn
         double out = 0, all = 0;
-        for (Index s = 0; s < size(); ++s)
+        for (EndpointIndex s = 0; s < size(); ++s)
             if (zone[s] == of && !forgotten[s]) all += 1, out += withdrawn[s];
         return all > 0 ? out / all : 0;
     }
-    bool serves(Index s) const {
+    bool serves(EndpointIndex s) const {
         return duty[s] == Duty::Serving || duty[s] == Duty::Suspect || duty[s] == Duty::Missed;
     }
 };
 
 struct Proxy {
     ZoneId zone;
-    bool bound = false, onlyStanding = true;            // bound: to whole tables
-    std::vector<double> usage;                          // txns a second by product
-    double staged = 0;                                  // lines of the message now being put together
-    std::deque<std::pair<MarkId, double>> waiting = {}; // lines of each message without an answer
+    bool bound = false, onlyStanding = true;               // bound: to whole tables
+    std::vector<double> usage;                             // txns a second by product
+    double staged = 0;                                     // lines of the message now being put together
+    std::deque<std::pair<BarrierId, double>> waiting = {}; // lines of each message without an answer
     Micros joinedAt{};
-    bool cleared = false;             // let back is what earlier planners withdrew
-    std::vector<Index> starters = {}; // the starter tables that it holds; empty: none, or bound
+    bool cleared = false;                     // let back is what earlier planners withdrew
+    std::vector<EndpointIndex> starters = {}; // the starter tables that it holds; empty: none, or bound
     bool keepsOldTable() const { return !bound && starters.empty(); }
     double rate() const { return std::accumulate(usage.begin(), usage.end(), 0.0); }
 };
 using Proxies = std::map<ProxyId, Proxy>;
 
 /// Txns a second of each product, of all proxies.
-inline std::vector<double> usageOf(const Proxies& proxies, Index products) {
+inline std::vector<double> usageOf(const Proxies& proxies, EndpointIndex products) {
     std::vector<double> out(products, 0);
     for (const auto& [id, proxy] : proxies)
-        for (Index p = 0; p < products; ++p) out[p] += proxy.usage[p];
+        for (EndpointIndex p = 0; p < products; ++p) out[p] += proxy.usage[p];
     return out;
 }
 
@@ -132,17 +132,17 @@
     TableId id;
     ZoneId zone;
     bool zoneOnly;
-    ProductSet products;
-    std::vector<double> standing = {};   // weight of each server as last ordered
-    std::map<Index, double> levels = {}; // by product, as last ordered
-    bool used = false;                   // some proxy of its zone has joined
-    double slowed = 1;                   // the share at which a deadlocked table moves
-    std::optional<Index> starterOf = {}; // the place of its whole table; none: it is whole itself
-    Index holders = 0;                   // of a starter table: proxies that hold it, and their traffic
+    RequestClassSet products;
+    std::vector<double> standing = {};           // weight of each server as last ordered
+    std::map<EndpointIndex, double> levels = {}; // by product, as last ordered
+    bool used = false;                           // some proxy of its zone has joined
+    double slowed = 1;                           // the share at which a deadlocked table moves
+    std::optional<EndpointIndex> starterOf = {}; // the place of its whole table; none: it is whole itself
+    EndpointIndex holders = 0; // of a starter table: proxies that hold it, and their traffic
     double heldRate = 0;
     bool serves(const Proxy& proxy) const {
         if (!starterOf) return proxy.bound && proxy.zone == zone;
-        return std::ranges::find(proxy.starters, Index{id.value}) != proxy.starters.end();
+        return std::ranges::find(proxy.starters, EndpointIndex{id.value}) != proxy.starters.end();
     }
     double rows() const { ///< servers that it names
         return static_cast<double>(std::ranges::count_if(standing, [](double weight) { return weight > 0; }));
@@ -150,7 +150,7 @@
     double usage(const Proxies& all) const { ///< txns a second of the proxies that it serves
         double sum = 0;
         for (const auto& [proxyId, proxy] : all)
-            for (Index p = 0; serves(proxy) && p < proxy.usage.size(); ++p)
+            for (EndpointIndex p = 0; serves(proxy) && p < proxy.usage.size(); ++p)
                 sum += products >> p & 1U ? proxy.usage[p] : 0;
         return sum;
     }
@@ -161,10 +161,10 @@
 /// sent before it have left.
 struct MessageLedger {
     struct Batch {
-        MarkId mark;
+        BarrierId mark;
         Micros sentAt;
-        double lines;  // that may still wait in the channel
-        Index awaited; // bound proxies whose answer is missing
+        double lines;          // that may still wait in the channel
+        EndpointIndex awaited; // bound proxies whose answer is missing
     };
     Proxies& proxies;
     const double headLines; // of a message; its mark is a line more
@@ -194,7 +194,7 @@
                 stage(proxy, 1);
         }
     }
-    void close(MarkId mark, Micros now) {
+    void close(BarrierId mark, Micros now) {
         Batch batch{mark, now, std::exchange(stagedLines, 0), 0};
         for (auto& [id, proxy] : proxies) {
             const double lines = std::exchange(proxy.staged, 0);
@@ -205,13 +205,13 @@
         }
         batches.push_back(batch);
     }
-    void applied(ProxyId id, MarkId number) {
+    void applied(ProxyId id, BarrierId number) {
         const auto found = proxies.find(id);
         const auto newest = std::ranges::find(batches, number, &Batch::mark);
         if (found == proxies.end() || newest == batches.end()) return;
         for (auto one = batches.begin(); one != newest; ++one) one->lines = 0;
         auto& waiting = found->second.waiting;
-        const auto at = std::ranges::find(waiting, number, &std::pair<MarkId, double>::first);
+        const auto at = std::ranges::find(waiting, number, &std::pair<BarrierId, double>::first);
         if (at == waiting.end()) return;
         for (auto one = waiting.begin(); one != at + 1; ++one)
             if (Batch* batch = find(one->first))
@@ -231,13 +231,13 @@
             return one.sentAt < all || (one.awaited == 0 && one.sentAt < unasked);
         });
     }
-    bool answered(std::optional<MarkId> number) const {
+    bool answered(std::optional<BarrierId> number) const {
         return std::ranges::none_of(
             batches, [&](const Batch& one) { return number && one.mark == *number && one.awaited > 0; });
     }
 
 private:
-    Batch* find(MarkId mark) {
+    Batch* find(BarrierId mark) {
         const auto at = std::ranges::find(batches, mark, &Batch::mark);
         return at == batches.end() ? nullptr : &*at;
     }
--- a/src/planner/starter_tables.h
+++ b/src/planner/subset_tables.h
@@ -24,22 +24,22 @@
         : tables_(tables), proxies_(proxies), servers_(servers), rows_(rows), chance_(seed) {}
 
     struct Row {
-        Index table;
-        Index server;
+        EndpointIndex table;
+        EndpointIndex server;
     };
     /// Deals the servers out over those tables of a whole table that no proxy holds, which are empty. `usable` are
     /// servers that may get their full part at once. Returns the rows that have to be added.
-    std::vector<Row> deal(Index whole, const std::vector<Index>& usable);
+    std::vector<Row> deal(EndpointIndex whole, const std::vector<EndpointIndex>& usable);
     /// Tables with too few servers left, and the servers that they get in addition.
-    std::vector<Row> refill(Index whole, const std::vector<Index>& usable);
+    std::vector<Row> refill(EndpointIndex whole, const std::vector<EndpointIndex>& usable);
     /// The starter table of a whole table on which a proxy of that rate weighs least; none where there is none.
-    std::optional<Index> assign(Index whole, double rate);
+    std::optional<EndpointIndex> assign(EndpointIndex whole, double rate);
     /// Counts anew which starter tables are held, and by how much traffic.
     void count();
 
 private:
     bool holdsEnough(const Table& table) const;
-    std::vector<Index> startersOf(Index whole) const;
+    std::vector<EndpointIndex> startersOf(EndpointIndex whole) const;
 
     std::vector<Table>& tables_;
     Proxies& proxies_;
--- a/src/platform/channel_report.cpp
+++ b/src/platform/channel_statistics.cpp
@@ -1,4 +1,4 @@
-#include "platform/channel_report.h"
+#include "platform/channel_statistics.h"
 
 #include <algorithm>
 #include <utility>
@@ -22,18 +22,18 @@
     return *this;
 }
 
-void ChannelReport::written(const LineCounts& lines) {
+void ChannelStatistics::written(const LineCounts& lines) {
     now_.lines += lines;
     ++now_.messages;
 }
 
-void ChannelReport::sample(std::size_t unanswered) {
+void ChannelStatistics::sample(std::size_t unanswered) {
     now_.mostUnanswered = std::max(now_.mostUnanswered, unanswered);
 }
 
-bool ChannelReport::due(Micros now) const { return !now_.empty() && now - toldAt_ >= kTellEvery; }
+bool ChannelStatistics::due(Micros now) const { return !now_.empty() && now - toldAt_ >= kTellEvery; }
 
-void ChannelReport::tell(Micros now, const Standing& standing) {
+void ChannelStatistics::tell(Micros now, const Standing& standing) {
     toldAt_ = now;
     const Interval last = std::exchange(now_, {});
     log::info("channel", {{"messages", last.messages},
--- a/src/platform/channel_report.h
+++ b/src/platform/channel_statistics.h
@@ -20,7 +20,7 @@
     LineCounts& operator+=(const LineCounts& other);
 };
 
-class ChannelReport {
+class ChannelStatistics {
 public:
     void written(const LineCounts& lines);
     void answered() { ++now_.answers; }
--- a/src/platform/intake.h
+++ b/src/platform/input_translator.h
@@ -5,43 +5,43 @@
 #include <string_view>
 #include <vector>
 
-#include "engine/engine.h"
+#include "engine/batch_runner.h"
 #include "metrics/counters.h"
-#include "orders/names.h"
 #include "platform/message.h"
-#include "platform/outbox.h"
+#include "platform/update_queue.h"
+#include "routing/name_registry.h"
 #include "json/json.h"
 
 namespace zincstack::net {
 
-class Intake {
+class InputTranslator {
 public:
-    Intake(Engine& engine, orders::OrderBook& book, Outbox& outbox, Names& names, Counters& counters,
-           std::uint32_t proxies);
+    InputTranslator(BatchRunner& engine, routing::RoutingState& book, UpdateQueue& outbox,
+                    NameRegistry& names, Counters& counters, std::uint32_t proxies);
 
     bool agent(const Message& message);
     /// The proxy that has joined by this stream; none if the message can't be used.
-    std::optional<ProxyId> hello(const Message& message, PushTarget& stream);
-    void ended(ProxyId proxy, const PushTarget& stream);
-    void ack(const Message& message, ProxyId proxy, const PushTarget& stream);
+    std::optional<ProxyId> hello(const Message& message, PushStream& stream);
+    void ended(ProxyId proxy, const PushStream& stream);
+    void ack(const Message& message, ProxyId proxy, const PushStream& stream);
     void outcomes(const Message& message);
     /// `stream`: the proxy on whose own stream it came; none if a collector brought it.
     void demand(const Message& message, std::optional<ProxyId> stream);
     /// False where an entry can't be used: the others were passed on, as changes.
-    bool list(ListNews news, const json::Value& members);
-    void probed(ServerId server, ProbeStatus status, Micros delay, std::string_view body);
+    bool list(EndpointListUpdate news, const json::Value& members);
+    void probed(EndpointId server, ProbeStatus status, Micros delay, std::string_view body);
 
 private:
     std::optional<ProxyId> proxyOf(const Message& message) const;
-    const char* entry(const json::Value& member, ListedServer& into, std::string_view& address);
+    const char* entry(const json::Value& member, EndpointUpdate& into, std::string_view& address);
     static std::optional<Micros> spanOf(const Message& message, std::string_view name);
     /// None where a figure is none.
     static std::optional<LoadReport> report(std::string_view text, char pairMark, char separator);
 
-    Engine& engine_;
-    orders::OrderBook& book_;
-    Outbox& outbox_;
-    Names& names_;
+    BatchRunner& engine_;
+    routing::RoutingState& book_;
+    UpdateQueue& outbox_;
+    NameRegistry& names_;
     Counters& counters_;
     const std::uint32_t proxies_;
 };
--- a/src/platform/peer_session.cpp
+++ b/src/platform/peer_session.cpp
@@ -30,14 +30,14 @@
     {State::Any, Word::Any, State::Any, Effect::PassOver},
 };
 
-PeerSession::PeerSession(Intake& intake, Counters& counters, BufferPool& pool, PushTarget& stream,
+PeerSession::PeerSession(InputTranslator& intake, Counters& counters, BufferPool& pool, PushStream& stream,
                          std::function<void()> alive)
     : intake_(intake), counters_(counters), stream_(stream), alive_(std::move(alive)), framer_(pool) {}
 
 /// Guards against a stream that goes on with what is no message at all: its proxy counts as left from then
 /// on and dials again once this end is closed. What begins like no message is not waited for.
 bool PeerSession::feed(std::string_view bytes) {
-    counters_.add(Count::BytesIn, bytes.size());
+    counters_.add(Counter::BytesIn, bytes.size());
     const auto most = [this] { return stranger() ? kStrangersLineMost : kLineBytesMost; };
     switch (framer_.feed(bytes, most, [this](std::string_view text) { return line(text); })) {
     case LineFramer::Outcome::Going: {
@@ -48,10 +48,10 @@
     case LineFramer::Outcome::Stopped: return false;
     case LineFramer::Outcome::Unreadable: return said(Word::Unreadable, {}, "bytes that are no text");
     case LineFramer::Outcome::TooLong:
-        counters_.passedOver(Count::TooLong, "a line over its limit");
+        counters_.recordIgnored(Counter::TooLong, "a line over its limit");
         return said(Word::Unreadable, {}, "no end of a line");
     case LineFramer::Outcome::NoRoom:
-        counters_.passedOver(Count::NoRoom, "no buffer is left for a line");
+        counters_.recordIgnored(Counter::NoRoom, "no buffer is left for a line");
         return said(Word::Unreadable, {}, "no room");
     }
     return false;
@@ -65,11 +65,11 @@
 }
 
 bool PeerSession::line(std::string_view text) {
-    counters_.add(Count::LinesIn);
+    counters_.add(Counter::LinesIn);
     const auto message = parseMessage(text);
     const auto* const word = message ? std::ranges::find(kWords, message->kind) : std::end(kWords);
     if (word == std::end(kWords)) {
-        counters_.passedOver(message ? Count::BadKind : Count::BadLine, text);
+        counters_.recordIgnored(message ? Counter::BadKind : Counter::BadLine, text);
         return said(Word::Unreadable, {}, text);
     }
     return said(std::min(static_cast<Word>(word - std::begin(kWords)), Word::Other), *message, text);
@@ -96,9 +96,9 @@
     case Effect::Applied: intake_.ack(message, *proxy_, stream_); return true;
     case Effect::Sums: intake_.outcomes(message); return true;
     case Effect::Usage: intake_.demand(message, proxy_); return true;
-    case Effect::PassOver: counters_.passedOver(Count::OutOfPlace, text); return true;
-    case Effect::Refuse: counters_.passedOver(Count::RefusedStranger, text); return true;
-    case Effect::Leave: counters_.passedOver(Count::Unreadable, text); return true;
+    case Effect::PassOver: counters_.recordIgnored(Counter::OutOfPlace, text); return true;
+    case Effect::Refuse: counters_.recordIgnored(Counter::RefusedStranger, text); return true;
+    case Effect::Leave: counters_.recordIgnored(Counter::Unreadable, text); return true;
     }
     return false;
 }
--- a/src/platform/peer_session.h
+++ b/src/platform/peer_session.h
@@ -7,15 +7,15 @@
 
 #include "metrics/counters.h"
 #include "net/line_framer.h"
-#include "platform/intake.h"
-#include "platform/push_target.h"
+#include "platform/input_translator.h"
+#include "platform/push_stream.h"
 
 namespace zincstack::net {
 
 class PeerSession {
 public:
     /// `alive` is called for each probe of the peer.
-    PeerSession(Intake& intake, Counters& counters, BufferPool& pool, PushTarget& stream,
+    PeerSession(InputTranslator& intake, Counters& counters, BufferPool& pool, PushStream& stream,
                 std::function<void()> alive);
 
     /// False: nothing more is taken on this connection.
@@ -47,9 +47,9 @@
     bool act(Effect effect, const Message& message, std::string_view text);
     bool open() const { return state_ != State::Refused && state_ != State::Gone; }
 
-    Intake& intake_;
+    InputTranslator& intake_;
     Counters& counters_;
-    PushTarget& stream_;
+    PushStream& stream_;
     std::function<void()> alive_;
     LineFramer framer_;
     State state_ = State::Stranger;
--- a/src/platform/prober.cpp
+++ b/src/platform/prober.cpp
@@ -9,7 +9,7 @@
 #include "http/http_response.h"
 #include "net/address.h"
 #include "net/client.h"
-#include "net/fatal.h"
+#include "net/rethrow.h"
 
 namespace zincstack::net {
 
@@ -24,23 +24,23 @@
 
 } // namespace
 
-Prober::Prober(asio::io_context& io, const Names& names, Intake& intake, Counters& counters, BufferPool& pool,
-               std::size_t atOnceMost, Micros connectMost, bool reports)
+Prober::Prober(asio::io_context& io, const NameRegistry& names, InputTranslator& intake, Counters& counters,
+               BufferPool& pool, std::size_t atOnceMost, Micros connectMost, bool reports)
     : io_(io), names_(names), intake_(intake), counters_(counters), pool_(pool), atOnceMost_(atOnceMost),
       connectMost_(connectMost > 0s ? connectMost : kConnectMost), path_(reports ? "/-/load" : "/-/healthy") {
 }
 
-void Prober::probe(ServerId server) { asio::co_spawn(io_, run(server), rethrow); }
+void Prober::probe(EndpointId server) { asio::co_spawn(io_, run(server), rethrow); }
 
 /// Starts in a turn of its own: the order comes from inside a decision, and no result may come back there.
-asio::awaitable<void> Prober::run(ServerId server) {
+asio::awaitable<void> Prober::run(EndpointId server) {
     co_await asio::post(io_, asio::use_awaitable);
     if (running_ >= atOnceMost_) {
         intake_.probed(server, ProbeStatus::Rejected, 0s, {});
         co_return;
     }
     ++running_;
-    counters_.add(Count::ProbesSent);
+    counters_.add(Counter::ProbesSent);
     const auto start = Steady::now();
     const Found seen = co_await ask(names_.address(server), start + kAnswerMost);
     --running_;
@@ -56,7 +56,7 @@
     if (!block) co_return Found{ProbeStatus::Rejected, {}};
     const std::string request =
         "GET " + path_ + " HTTP/1.1\r\nHost: " + address + "\r\nConnection: close\r\n\r\n";
-    if (co_await writeAll(socket, request)) co_return Found{ProbeStatus::Broken, {}};
+    if (co_await writeAll(socket, request)) co_return Found{ProbeStatus::ProtocolError, {}};
     HttpResponse response(kBodyMost);
     while (!response.done() && !response.broken()) {
         boost::system::error_code error;
@@ -65,7 +65,7 @@
         response.feed({block.data(), got});
         if (error) response.ended();
     }
-    if (response.broken()) co_return Found{ProbeStatus::Broken, {}};
+    if (response.broken()) co_return Found{ProbeStatus::ProtocolError, {}};
     if (response.status() == 200) co_return Found{ProbeStatus::Answered, response.body()};
     co_return Found{response.neverRan() ? ProbeStatus::Rejected : ProbeStatus::Error, {}};
 }
--- a/src/platform/prober.h
+++ b/src/platform/prober.h
@@ -8,29 +8,29 @@
 #include <string>
 
 #include "net/buffer_pool.h"
-#include "orders/names.h"
-#include "platform/intake.h"
+#include "platform/input_translator.h"
+#include "routing/name_registry.h"
 
 namespace zincstack::net {
 
 class Prober {
 public:
-    Prober(boost::asio::io_context& io, const Names& names, Intake& intake, Counters& counters,
-           BufferPool& pool, std::size_t atOnceMost, Micros connectMost, bool reports);
-    void probe(ServerId server);
+    Prober(boost::asio::io_context& io, const NameRegistry& names, InputTranslator& intake,
+           Counters& counters, BufferPool& pool, std::size_t atOnceMost, Micros connectMost, bool reports);
+    void probe(EndpointId server);
 
 private:
     struct Found {
         ProbeStatus status;
         std::string body;
     };
-    boost::asio::awaitable<void> run(ServerId server);
+    boost::asio::awaitable<void> run(EndpointId server);
     using Steady = std::chrono::steady_clock;
     boost::asio::awaitable<Found> ask(std::string address, Steady::time_point until);
 
     boost::asio::io_context& io_;
-    const Names& names_;
-    Intake& intake_;
+    const NameRegistry& names_;
+    InputTranslator& intake_;
     Counters& counters_;
     BufferPool& pool_;
     const std::size_t atOnceMost_;
--- a/src/platform/push_writer.cpp
+++ b/src/platform/push_encoder.cpp
@@ -1,4 +1,4 @@
-#include "platform/push_writer.h"
+#include "platform/push_encoder.h"
 
 #include <algorithm>
 #include <array>
@@ -18,48 +18,51 @@
     return {room.data(), end};
 }
 
-std::string listText(const std::set<ServerId>& servers, const Names& names) {
+std::string listText(const std::set<EndpointId>& servers, const NameRegistry& names) {
     std::string out;
-    for (const auto& one : servers) out.append(out.empty() ? "" : ",").append(names.of(one));
+    for (const auto& one : servers) out.append(out.empty() ? "" : ",").append(names.nameOf(one));
     return out;
 }
 
 /// ` for=a+b`, or nothing where all products are meant.
-std::string forText(ProductSet products, const Names& names) {
+std::string forText(RequestClassSet products, const NameRegistry& names) {
     std::string out;
     bool all = true;
-    for (std::uint16_t p = 0; p < names.products(); ++p) {
+    for (std::uint16_t p = 0; p < names.requestClassCount(); ++p) {
         if (products >> p & 1U)
-            out.append(out.empty() ? " for=" : "+").append(names.of(ProductId{p}));
+            out.append(out.empty() ? " for=" : "+").append(names.nameOf(RequestClassId{p}));
         else
             all = false;
     }
     return all ? std::string{} : out;
 }
 
-std::string levelText(const orders::Level& level) {
-    return " gate=" + numberText(level.level) + " again=" + std::to_string(static_cast<int>(level.tries));
+std::string levelText(const routing::AdmissionLimit& level) {
+    return " gate=" + numberText(level.limit) +
+           " again=" + std::to_string(static_cast<int>(level.retryPolicy));
 }
 
 /// Products of the same level, each level once.
-std::vector<std::pair<orders::Level, ProductSet>> groupsOf(const orders::LevelLines& levels) {
-    std::vector<std::pair<orders::Level, ProductSet>> groups;
+std::vector<std::pair<routing::AdmissionLimit, RequestClassSet>>
+groupsOf(const routing::AdmissionLimits& levels) {
+    std::vector<std::pair<routing::AdmissionLimit, RequestClassSet>> groups;
     for (const auto& [product, level] : levels) {
-        const auto bit = static_cast<ProductSet>(1U << product.value);
-        const auto same = std::ranges::find(groups, level, &std::pair<orders::Level, ProductSet>::first);
+        const auto bit = static_cast<RequestClassSet>(1U << product.value);
+        const auto same =
+            std::ranges::find(groups, level, &std::pair<routing::AdmissionLimit, RequestClassSet>::first);
         if (same == groups.end())
             groups.emplace_back(level, bit);
         else
-            same->second = static_cast<ProductSet>(same->second | bit);
+            same->second = static_cast<RequestClassSet>(same->second | bit);
     }
     return groups;
 }
 
 } // namespace
 
-std::size_t linesOf(const orders::LevelLines& levels) { return groupsOf(levels).size(); }
+std::size_t linesOf(const routing::AdmissionLimits& levels) { return groupsOf(levels).size(); }
 
-WrittenPush writePush(const PushMessage& message, const Names& names) {
+EncodedPush encodePush(const PushMessage& message, const NameRegistry& names) {
     std::vector<std::string> parts;
     LineCounts lines;
     for (const auto& table : message.tables) {
@@ -74,7 +77,7 @@
             rows.clear();
         };
         for (const auto& [server, weight] : table.lines) {
-            rows.append(rows.empty() ? "" : ",").append(names.of(server)) += ":" + numberText(weight);
+            rows.append(rows.empty() ? "" : ",").append(names.nameOf(server)) += ":" + numberText(weight);
             ++lines.rows;
             if (rows.size() > kRowBytesMost) flush();
         }
--- a/src/platform/push_writer.h
+++ b/src/platform/push_encoder.h
@@ -7,35 +7,35 @@
 #include <string>
 #include <vector>
 
-#include "orders/names.h"
-#include "orders/order_book.h"
-#include "platform/channel_report.h"
+#include "platform/channel_statistics.h"
+#include "routing/name_registry.h"
+#include "routing/routing_state.h"
 
 namespace zincstack::net {
 
 /// What changes for one proxy in the table of some products.
-struct TablePart {
-    ProductSet products = 0;
+struct TableUpdate {
+    RequestClassSet products = 0;
     bool whole = false; ///< the lines are the whole table, and levels are forgotten
-    orders::Lines lines;
-    orders::LevelLines levels;
+    routing::EndpointWeights lines;
+    routing::AdmissionLimits levels;
 };
 struct PushMessage {
-    std::vector<TablePart> tables;
-    std::set<ServerId> shut, let;
-    std::optional<MarkId> mark;
+    std::vector<TableUpdate> tables;
+    std::set<EndpointId> shut, let;
+    std::optional<BarrierId> mark;
 };
 
-struct WrittenPush {
+struct EncodedPush {
     std::string bytes;
     LineCounts lines;
     std::size_t parts = 0; ///< push lines
 };
-WrittenPush writePush(const PushMessage& message, const Names& names);
+EncodedPush encodePush(const PushMessage& message, const NameRegistry& names);
 
 /// Most parts that one message may have.
 inline constexpr std::size_t kPartsMost = 64;
 /// Levels that are alike share a line: how many lines these take.
-std::size_t linesOf(const orders::LevelLines& levels);
+std::size_t linesOf(const routing::AdmissionLimits& levels);
 
 } // namespace zincstack::net
--- a/src/platform/push_target.h
+++ b/src/platform/push_stream.h
@@ -5,9 +5,9 @@
 
 namespace zincstack::net {
 
-class PushTarget {
+class PushStream {
 public:
-    virtual ~PushTarget() = default;
+    virtual ~PushStream() = default;
     /// Takes a whole message, written as fast as the reader reads; false if too much waits already.
     virtual bool push(std::string_view bytes) = 0;
     /// All that it took has been written.
--- a/src/platform/door.cpp
+++ b/src/platform/session_acceptor.cpp
@@ -1,26 +1,26 @@
-#include "platform/door.h"
+#include "platform/session_acceptor.h"
 
 #include <utility>
 
 #include "platform/peer_session.h"
-#include "platform/push_target.h"
+#include "platform/push_stream.h"
 
 namespace zincstack::net {
 
 namespace {
 
 /// A session with the way back to its own connection.
-class Visitor final : public Peer, PushTarget {
+class Visitor final : public PeerProtocol, PushStream {
 public:
-    Visitor(Connection& connection, Intake& intake, Counters& counters, BufferPool& lines,
+    Visitor(Connection& connection, InputTranslator& intake, Counters& counters, BufferPool& lines,
             std::function<void()> alive)
         : connection_(connection), session_(intake, counters, lines, *this, std::move(alive)) {}
 
     bool feed(std::string_view bytes) override { return session_.feed(bytes); }
-    bool mayStay() override { return session_.mayStay(); }
-    bool stranger() const override { return session_.stranger(); }
-    void ended() override { session_.ended(); }
-    std::string_view lastWords() const override {
+    bool joinDeadlineExpired() override { return session_.mayStay(); }
+    bool isUnidentified() const override { return session_.stranger(); }
+    void connectionClosed() override { session_.ended(); }
+    std::string_view farewell() const override {
         return session_.refused() ? "error reason=refused\r\n" : std::string_view{};
     }
 
@@ -35,21 +35,21 @@
 
 } // namespace
 
-std::unique_ptr<Peer> Door::peer(Connection& connection) {
+std::unique_ptr<PeerProtocol> SessionAcceptor::accept(Connection& connection) {
     return std::make_unique<Visitor>(connection, intake_, counters_, lines_,
                                      [this, &connection] { alive(connection); });
 }
 
-void Door::serve() {
+void SessionAcceptor::startServing() {
     if (std::exchange(serving_, true)) return;
     for (const auto& one : std::exchange(asking_, {}))
         if (const auto connection = one.lock()) alive(*connection);
 }
 
-void Door::alive(Connection& connection) {
+void SessionAcceptor::alive(Connection& connection) {
     if (!serving_) return asking_.push_back(connection.weak_from_this());
-    counters_.add(Count::ProbesAnswered);
-    if (!connection.push("alive\r\n")) counters_.passedOver(Count::NoRoom, "no room for an answer");
+    counters_.add(Counter::ProbesAnswered);
+    if (!connection.push("alive\r\n")) counters_.recordIgnored(Counter::NoRoom, "no room for an answer");
 }
 
 } // namespace zincstack::net
--- a/src/platform/door.h
+++ b/src/platform/session_acceptor.h
@@ -8,26 +8,26 @@
 #include "metrics/counters.h"
 #include "net/buffer_pool.h"
 #include "net/connection.h"
-#include "platform/intake.h"
+#include "platform/input_translator.h"
 
 namespace zincstack::net {
 
-class Door {
+class SessionAcceptor {
 public:
     /// Bytes that wait for one slow reader; past them it gets its tables anew once it has caught up.
     static constexpr std::size_t kQueueBytesMost = 256 * 1024;
 
-    Door(Intake& intake, Counters& counters, BufferPool& lines)
+    SessionAcceptor(InputTranslator& intake, Counters& counters, BufferPool& lines)
         : intake_(intake), counters_(counters), lines_(lines) {}
 
-    std::unique_ptr<Peer> peer(Connection& connection);
+    std::unique_ptr<PeerProtocol> accept(Connection& connection);
     /// From now on probes are answered; those that wait are now.
-    void serve();
+    void startServing();
 
 private:
     void alive(Connection& connection);
 
-    Intake& intake_;
+    InputTranslator& intake_;
     Counters& counters_;
     BufferPool& lines_;
     std::vector<std::weak_ptr<Connection>> asking_;
--- a/src/platform/outbox.h
+++ b/src/platform/update_queue.h
@@ -9,53 +9,53 @@
 #include <vector>
 
 #include "metrics/counters.h"
-#include "orders/names.h"
-#include "orders/order_book.h"
-#include "platform/channel_report.h"
-#include "platform/push_target.h"
-#include "platform/push_writer.h"
+#include "platform/channel_statistics.h"
+#include "platform/push_encoder.h"
+#include "platform/push_stream.h"
+#include "routing/name_registry.h"
+#include "routing/routing_state.h"
 
 namespace zincstack::net {
 
-class Outbox final : public orders::Front {
+class UpdateQueue final : public routing::UpdateTransport {
 public:
-    Outbox(orders::OrderBook& book, const Names& names, Counters& counters);
-    ~Outbox() override;
-    Outbox(const Outbox&) = delete;
-    Outbox& operator=(const Outbox&) = delete;
+    UpdateQueue(routing::RoutingState& book, const NameRegistry& names, Counters& counters);
+    ~UpdateQueue() override;
+    UpdateQueue(const UpdateQueue&) = delete;
+    UpdateQueue& operator=(const UpdateQueue&) = delete;
 
     /// A stream of the proxy is up; whatever one it had before is not its own any more. True if it had one.
-    bool joined(ProxyId proxy, ZoneId zone, PushTarget& stream);
+    bool sessionOpened(ProxyId proxy, ZoneId zone, PushStream& stream);
     /// True if that stream was the proxy's own: the proxy has left.
-    bool left(ProxyId proxy, const PushTarget& stream);
-    bool owns(ProxyId proxy, const PushTarget& stream) const;
+    bool sessionClosed(ProxyId proxy, const PushStream& stream);
+    bool ownsSession(ProxyId proxy, const PushStream& stream) const;
     /// The proxy has answered a mark; false where none such waits for its answer.
-    bool answered(ProxyId proxy, MarkId number);
+    bool barrierAcknowledged(ProxyId proxy, BarrierId number);
 
-    void lineSet(TableId table, ServerId server, double weight) override;
-    void bound(ProxyId proxy, TableId table) override;
-    void withdrawn(ServerId server, bool out) override;
-    void levelSet(std::optional<TableId> table, ProductSet products) override;
-    void marked(MarkId number, bool everyProxy) override;
-    void forgotten(ServerId server) override;
-    bool owesRemoval(ServerId server) const override;
-    void replaced(ProxyId proxy) override;
+    void weightChanged(TableId table, EndpointId server, double weight) override;
+    void tableAssigned(ProxyId proxy, TableId table) override;
+    void exclusionChanged(EndpointId server, bool out) override;
+    void admissionChanged(std::optional<TableId> table, RequestClassSet products) override;
+    void barrierRequested(BarrierId number, bool everyProxy) override;
+    void endpointForgotten(EndpointId server) override;
+    bool hasUndeliveredRemoval(EndpointId server) const override;
+    void sessionReplaced(ProxyId proxy) override;
     void flush() override;
-    bool letBack(ProxyId proxy, std::size_t most) override;
-    double linesHeldBack() const override { return static_cast<double>(linesHeldBack_); }
-    bool needsMark() const override { return needsMark_; }
-    bool rebinds() const override { return true; }
+    bool clearStaleExclusions(ProxyId proxy, std::size_t most) override;
+    double deferredLines() const override { return static_cast<double>(linesHeldBack_); }
+    bool needsBarrier() const override { return needsMark_; }
+    bool supportsReassignment() const override { return true; }
 
 private:
     /// What was ordered for one stream and has not been written on it.
     struct Held {
-        PushTarget* stream;
-        std::map<ServerId, bool> shut =
+        PushStream* stream;
+        std::map<EndpointId, bool> shut =
             {}; // as last ordered on this stream; absent: as earlier streams left it
-        std::map<TableId, TablePart> parts = {};
-        orders::LevelLines loose = {}; // levels ordered while it is bound to no table
-        std::set<ServerId> shutNow = {}, letNow = {};
-        std::optional<MarkId> mark = {};
+        std::map<TableId, TableUpdate> parts = {};
+        routing::AdmissionLimits loose = {}; // levels ordered while it is bound to no table
+        std::set<EndpointId> shutNow = {}, letNow = {};
+        std::optional<BarrierId> mark = {};
         std::optional<Micros> since = {}; // when the oldest of it was ordered
         bool behind = false;
         bool hasTable = false; // a whole table has been written on this stream
@@ -75,22 +75,22 @@
         auto operator<=>(const Candidate&) const = default;
     };
 
-    void tell(Held& held, ServerId server, bool out);
+    void tell(Held& held, EndpointId server, bool out);
     std::vector<Candidate> candidates();
     void prepare(ProxyId proxy, Held& held);
     std::size_t countLines(const Held& held, Scope scope) const;
     PushMessage take(Held& held, Scope scope);
-    TablePart takePart(TableId table, TablePart& part, Scope scope, bool first);
+    TableUpdate takePart(TableId table, TableUpdate& part, Scope scope, bool first);
     Outcome write(ProxyId proxy, Held& held, Urgency urgency);
     Outcome write(ProxyId proxy, Held& held, Urgency urgency, Scope scope);
     void resync(ProxyId proxy, Held& held);
     void report();
 
-    orders::OrderBook& book_;
-    const Names& names_;
+    routing::RoutingState& book_;
+    const NameRegistry& names_;
     Counters& counters_;
     std::map<ProxyId, Held> held_;
-    ChannelReport report_;
+    ChannelStatistics report_;
     std::size_t linesHeldBack_ = 0;
     bool needsMark_ = false;
 };
--- a/src/pubsub/pacing.h
+++ b/src/pubsub/flow_control.h
@@ -23,11 +23,11 @@
 enum class Urgency : std::uint8_t { Withdrawal, Change, Snapshot };
 inline constexpr std::size_t kUrgencies = 3;
 
-struct PaceTerms {
-    std::size_t linesEach = 1024;            ///< without an answer, at one subscriber
-    std::size_t bytesEach = 32 * 1024;       ///< the same in bytes
-    double queueMost = 0;                    ///< lines that may wait at once, of all fronts (ChannelTerms)
-    std::size_t bytesAll = 16 * 1024 * 1024; ///< without an answer, at all subscribers
+struct FlowControlLimits {
+    std::size_t maxLinesPerSubscriber = 1024;      ///< without an answer, at one subscriber
+    std::size_t maxBytesPerSubscriber = 32 * 1024; ///< the same in bytes
+    double maxQueuedLines = 0; ///< lines that may wait at once, of all fronts (ControlChannelLimits)
+    std::size_t maxTotalBytes = 16 * 1024 * 1024; ///< without an answer, at all subscribers
 };
 
 /// What one subscriber has not answered yet.
@@ -36,9 +36,9 @@
     bool stuck = false; ///< it stands still: what it owes lies in its own buffers, and gets no company
 };
 
-class Pacing {
+class FlowControl {
 public:
-    explicit Pacing(const PaceTerms& terms) : terms_(terms) {}
+    explicit FlowControl(const FlowControlLimits& terms) : terms_(terms) {}
 
     enum class Verdict : std::uint8_t { Go, OwnFull, AllFull };
     /// `elsewhere`: lines that other fronts have on their way.
@@ -61,7 +61,7 @@
     std::size_t waiting() const;
 
 private:
-    const PaceTerms terms_;
+    const FlowControlLimits terms_;
     Window all_;
     std::size_t mostLines_ = 0;
     std::array<std::deque<SubscriberId>, kUrgencies> waiting_;
@@ -69,9 +69,9 @@
 
 /// How long those who are sent away stay away: at least the base, and spread so that no more than `rate` come
 /// back in a second. The first who is told after a quiet time starts anew.
-class ComeBack {
+class RetryAfterPlanner {
 public:
-    ComeBack(Micros base, std::uint32_t rate) : base_(base), gap_(Micros(1'000'000 / rate)) {}
+    RetryAfterPlanner(Micros base, std::uint32_t rate) : base_(base), gap_(Micros(1'000'000 / rate)) {}
     Micros after(Micros now);
 
 private:
--- a/src/pubsub/replica.cpp
+++ b/src/pubsub/replica.cpp
@@ -20,7 +20,7 @@
 /// stands, and must not undo it. Changes since an older state hold the newest figure of each key, so more than
 /// what is missing does no harm; less does.
 Replica::Outcome Replica::take(const Frame& frame, Micros now) {
-    const bool whole = frame.type == Type::Snapshot;
+    const bool whole = frame.type == FrameType::Snapshot;
     if (frame.epoch != epoch_) return Outcome::Foreign;
     const auto had = at(frame.topic);
     if (!whole && (!had || frame.since > *had)) return gathering_.erase(frame.topic), Outcome::Gap;
@@ -60,13 +60,13 @@
             return !foreign(one.second) || now - one.second.at >= foreignHold_;
         });
     } else {
-        Table& table = tables_[topic];
+        RoutingTable& table = tables_[topic];
         table = {body.products, {}, {}};
         // Tables of an earlier planner go once their products are served by one that has come whole.
         std::erase_if(tables_, [&](const auto& one) {
             const auto& [other, old] = one;
             if (other == topic || standing_[other].epoch == epoch_) return false;
-            const bool served = std::ranges::all_of(old.products, [&](const std::string& product) {
+            const bool served = std::ranges::all_of(old.requestClasses, [&](const std::string& product) {
                 return std::ranges::find(body.products, product) != body.products.end();
             });
             if (served) standing_.erase(other);
@@ -80,11 +80,11 @@
     switch (key.kind) {
     case Key::Kind::Line:
         if (value.figure > 0)
-            tables_[topic].lines[key.name] = value.figure;
+            tables_[topic].weights[key.name] = value.figure;
         else
-            tables_[topic].lines.erase(key.name);
+            tables_[topic].weights.erase(key.name);
         return;
-    case Key::Kind::Level: tables_[topic].levels[key.name] = {value.figure, value.tries}; return;
+    case Key::Kind::Level: tables_[topic].admission[key.name] = {value.figure, value.tries}; return;
     case Key::Kind::Out:
         if (value.figure > 0)
             out_[key.name] = {epoch_, now};
@@ -107,10 +107,10 @@
     return out;
 }
 
-const Table* Replica::tableOf(std::string_view product) const {
-    const Table* out = nullptr;
+const RoutingTable* Replica::tableOf(std::string_view product) const {
+    const RoutingTable* out = nullptr;
     for (const auto& [topic, table] : tables_) {
-        if (std::ranges::find(table.products, product) == table.products.end()) continue;
+        if (std::ranges::find(table.requestClasses, product) == table.requestClasses.end()) continue;
         if (!out || standing_.at(topic).epoch == epoch_) out = &table;
     }
     return out;
@@ -121,9 +121,9 @@
     return found != out_.end() && (!foreign(found->second) || now - found->second.at < foreignHold_);
 }
 
-std::vector<std::pair<std::string, double>> Replica::picks(const Table& table, Micros now) const {
+std::vector<std::pair<std::string, double>> Replica::picks(const RoutingTable& table, Micros now) const {
     std::vector<std::pair<std::string, double>> sure, left;
-    for (const auto& line : table.lines) {
+    for (const auto& line : table.weights) {
         const auto out = out_.find(line.first);
         if (out == out_.end() || (foreign(out->second) && now - out->second.at >= foreignHold_))
             sure.push_back(line);
