--- a/src/pubsub/replica.h
+++ b/src/pubsub/replica.h
@@ -14,15 +14,15 @@
 
 namespace zincstack::pubsub {
 
-struct Level {
-    double level = 0;
-    FurtherTries tries = FurtherTries::None;
-    friend bool operator==(const Level&, const Level&) = default;
+struct AdmissionLimit {
+    double limit = 0;
+    RetryPolicy retryPolicy = RetryPolicy::Never;
+    friend bool operator==(const AdmissionLimit&, const AdmissionLimit&) = default;
 };
-struct Table {
-    std::vector<std::string> products;
-    std::map<std::string, double> lines; ///< weights by server
-    std::map<std::string, Level> levels; ///< by product
+struct RoutingTable {
+    std::vector<std::string> requestClasses;
+    std::map<std::string, double> weights;           ///< weights by server
+    std::map<std::string, AdmissionLimit> admission; ///< by product
 };
 
 class Replica {
@@ -54,13 +54,13 @@
     /// When it last knew that it had all there was; none: never.
     std::optional<Micros> currentAt() const { return currentAt_; }
 
-    const std::map<TopicId, Table>& tables() const { return tables_; }
+    const std::map<TopicId, RoutingTable>& tables() const { return tables_; }
     /// The table of a product; null where there is none.
-    const Table* tableOf(std::string_view product) const;
+    const RoutingTable* tableOf(std::string_view product) const;
     bool withdrawn(std::string_view server, Micros now) const;
     /// The lines that may be picked now: those of servers that are not withdrawn. What only an earlier planner
     /// withdrew counts as long as another line is left.
-    std::vector<std::pair<std::string, double>> picks(const Table& table, Micros now) const;
+    std::vector<std::pair<std::string, double>> picks(const RoutingTable& table, Micros now) const;
 
 private:
     struct Standing {
@@ -68,7 +68,7 @@
         Sequence sequence;
     };
     struct Gathering { // parts of a message
-        Type type;
+        FrameType type;
         Sequence sequence, since;
         std::uint16_t next = 0;
         TopicBody body = {};
@@ -85,7 +85,7 @@
     Epoch epoch_;
     std::map<TopicId, Standing> standing_;
     std::map<TopicId, Gathering> gathering_;
-    std::map<TopicId, Table> tables_;
+    std::map<TopicId, RoutingTable> tables_;
     std::map<std::string, Out, std::less<>> out_;
     std::optional<Micros> currentAt_;
 };
--- a/src/pubsub/subscriber.cpp
+++ b/src/pubsub/subscriber.cpp
@@ -53,7 +53,7 @@
     return row->effect;
 }
 
-void Subscriber::sent(const Message& message, std::size_t part, Pacing& pacing, Micros now) {
+void Subscriber::sent(const Message& message, std::size_t part, FlowControl& pacing, Micros now) {
     const auto& [frame, lines] = message.parts[part];
     if (owed_.empty()) movedAt = now;
     owed_.push_back({message.topic, message.to, static_cast<std::uint16_t>(part), lines, frame->size()});
@@ -62,8 +62,8 @@
 
 /// An answer to a message stands for all that was sent of its topic before it; of other topics it says
 /// nothing, since withdrawals overtake.
-bool Subscriber::acked(TopicId topic, Sequence sequence, std::optional<std::uint16_t> part, Pacing& pacing,
-                       Micros now) {
+bool Subscriber::acked(TopicId topic, Sequence sequence, std::optional<std::uint16_t> part,
+                       FlowControl& pacing, Micros now) {
     const auto holding = holdings.find(topic);
     if (holding == holdings.end()) return false;
     const auto& sending = holding->second.sending;
@@ -84,12 +84,12 @@
     return true;
 }
 
-void Subscriber::abandon(Pacing& pacing) {
+void Subscriber::abandon(FlowControl& pacing) {
     for (const Owed& one : owed_) pacing.answered(window, one.lines, one.bytes);
     owed_.clear();
 }
 
-void Subscriber::marked(MarkId number, const std::map<TopicId, Sequence>& heads) {
+void Subscriber::marked(BarrierId number, const std::map<TopicId, Sequence>& heads) {
     Mark mark{number, {}};
     for (auto& [topic, holding] : holdings) {
         holding.marked = heads.at(topic);
@@ -99,8 +99,8 @@
     if (marks_.size() > kMarksMost) marks_.pop_front();
 }
 
-std::optional<MarkId> Subscriber::settled() {
-    std::optional<MarkId> out;
+std::optional<BarrierId> Subscriber::settled() {
+    std::optional<BarrierId> out;
     const auto done = [&](const Mark& mark) {
         return std::ranges::all_of(mark.upTo, [&](const auto& one) {
             const auto holding = holdings.find(one.first);
--- a/src/pubsub/subscriber.h
+++ b/src/pubsub/subscriber.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "pubsub/pacing.h"
+#include "pubsub/flow_control.h"
 #include "pubsub/topic_log.h"
 #include "pubsub/wire.h"
 
@@ -77,17 +77,17 @@
         std::size_t next = 0; ///< part of `sending`
     };
 
-    void sent(const Message& message, std::size_t part, Pacing& pacing, Micros now);
+    void sent(const Message& message, std::size_t part, FlowControl& pacing, Micros now);
     /// An answer: all up to the sequence is in use, or (`part`) that part of a message has come. False where
     /// nothing like it was sent.
-    bool acked(TopicId topic, Sequence sequence, std::optional<std::uint16_t> part, Pacing& pacing,
+    bool acked(TopicId topic, Sequence sequence, std::optional<std::uint16_t> part, FlowControl& pacing,
                Micros now);
     /// The planner closes what it has ordered so far with a mark.
-    void marked(MarkId number, const std::map<TopicId, Sequence>& heads);
+    void marked(BarrierId number, const std::map<TopicId, Sequence>& heads);
     /// The newest mark for which all has been answered, once.
-    std::optional<MarkId> settled();
+    std::optional<BarrierId> settled();
     /// What it owes an answer to is not waited for any more.
-    void abandon(Pacing& pacing);
+    void abandon(FlowControl& pacing);
     bool owes() const { return !owed_.empty(); }
 
     const SubscriberId id;
@@ -109,7 +109,7 @@
         std::size_t lines, bytes;
     };
     struct Mark {
-        MarkId number;
+        BarrierId number;
         std::map<TopicId, Sequence> upTo;
     };
     State state_ = State::Greeting;
--- a/src/pubsub/door.h
+++ b/src/pubsub/subscriber_session.h
@@ -4,13 +4,14 @@
 #include <memory>
 
 #include "net/connection.h"
-#include "pubsub/hub.h"
+#include "pubsub/subscription_server.h"
 
 namespace zincstack::pubsub {
 
 /// Bytes that wait for one slow reader; the hub's windows are smaller.
 inline constexpr std::size_t kQueueBytesMost = 256 * 1024;
 
-std::unique_ptr<net::Peer> makeVisitor(Hub& hub, net::Connection& connection);
+std::unique_ptr<net::PeerProtocol> makeSubscriberSession(SubscriptionServer& hub,
+                                                         net::Connection& connection);
 
 } // namespace zincstack::pubsub
--- a/src/pubsub/hub.cpp
+++ b/src/pubsub/subscription_server.cpp
@@ -1,4 +1,4 @@
-#include "pubsub/hub.h"
+#include "pubsub/subscription_server.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,7 +7,7 @@
 
 namespace {
 
-using net::Count;
+using net::Counter;
 
 constexpr std::size_t kPartBytes = 24 * 1024;   // of a part's body, about
 constexpr std::size_t kEntryBytes = 12;         // of an entry beside its name, about
@@ -23,91 +23,95 @@
 
 } // namespace
 
-Hub::Hub(orders::OrderBook& book, const net::Names& names, net::Counters& counters, std::string planner,
-         Epoch epoch, std::uint32_t proxies, const PaceTerms& pace, const LeaseTerms& leases,
-         std::size_t tombstones, InputOf input, Clock clock)
+SubscriptionServer::SubscriptionServer(routing::RoutingState& book, const net::NameRegistry& names,
+                                       net::Counters& counters, std::string planner, Epoch epoch,
+                                       std::uint32_t proxies, const FlowControlLimits& pace,
+                                       const LeaseConfig& leases, std::size_t tombstones, InputOf input,
+                                       Clock clock)
     : book_(book), names_(names), counters_(counters), planner_(std::move(planner)), epoch_(epoch),
       proxies_(proxies), leases_(leases), tombstones_(tombstones), input_(std::move(input)),
-      clock_(std::move(clock)), pacing_(pace), comeBack_(leases.beat, leases.backASecond) {
+      clock_(std::move(clock)), pacing_(pace),
+      comeBack_(leases.heartbeatInterval, leases.reconnectsPerSecond) {
     topics_.emplace(kWithdrawnTopic, Topic(tombstones_));
-    for (const ServerId server : book_.withdrawnServers()) withdrawn(server, true);
+    for (const EndpointId server : book_.excludedEndpoints()) exclusionChanged(server, true);
     for (const auto& [table, orders] : book_.tables()) topic(table);
-    book_.add(*this);
+    book_.addTransport(*this);
 }
 
-Hub::~Hub() {
+SubscriptionServer::~SubscriptionServer() {
     for (auto& [id, one] : subscribers_) depart(*one);
-    book_.remove(*this);
+    book_.removeTransport(*this);
 }
 
 /// A topic that is new holds what the book does already: the channel may be switched on late.
-Hub::Topic& Hub::topic(TableId table) {
+SubscriptionServer::Topic& SubscriptionServer::topic(TableId table) {
     const auto [at, fresh] = topics_.try_emplace(topicOf(table), tombstones_);
     if (fresh && book_.tables().contains(table)) {
-        for (const auto& [server, weight] : book_.table(table).lines)
-            at->second.log.put({{Key::Kind::Line, names_.of(server)}, {weight, {}}});
-        putLevels(table, book_.everyProduct());
+        for (const auto& [server, weight] : book_.table(table).weights)
+            at->second.log.put({{Key::Kind::Line, names_.nameOf(server)}, {weight, {}}});
+        putLevels(table, book_.allRequestClasses());
     }
     return at->second;
 }
 
-const TopicLog* Hub::log(TopicId topic) const {
+const TopicLog* SubscriptionServer::log(TopicId topic) const {
     const auto found = topics_.find(topic);
     return found == topics_.end() ? nullptr : &found->second.log;
 }
 
-std::size_t Hub::inState(State state) const {
+std::size_t SubscriptionServer::inState(State state) const {
     return static_cast<std::size_t>(
         std::ranges::count_if(subscribers_, [&](const auto& one) { return one.second->state() == state; }));
 }
 
 // ---- what the order book tells ----------------------------------------------------------------------------
 
-void Hub::lineSet(TableId table, ServerId server, double weight) {
+void SubscriptionServer::weightChanged(TableId table, EndpointId server, double weight) {
     dirty_ = true;
-    topic(table).log.put({{Key::Kind::Line, names_.of(server)}, {weight, {}}});
+    topic(table).log.put({{Key::Kind::Line, names_.nameOf(server)}, {weight, {}}});
 }
 
-void Hub::withdrawn(ServerId server, bool out) {
+void SubscriptionServer::exclusionChanged(EndpointId server, bool out) {
     dirty_ = true;
-    topics_.at(kWithdrawnTopic).log.put({{Key::Kind::Out, names_.of(server)}, {out ? 1.0 : 0.0, {}}});
+    topics_.at(kWithdrawnTopic).log.put({{Key::Kind::Out, names_.nameOf(server)}, {out ? 1.0 : 0.0, {}}});
 }
 
 /// Guards against a name that comes back as another server: nobody may keep it shut out then.
-void Hub::forgotten(ServerId server) {
-    withdrawn(server, false);
+void SubscriptionServer::endpointForgotten(EndpointId server) {
+    exclusionChanged(server, false);
     for (auto& [id, topic] : topics_)
-        if (id != kWithdrawnTopic) topic.log.put({{Key::Kind::Line, names_.of(server)}, {0, {}}});
+        if (id != kWithdrawnTopic) topic.log.put({{Key::Kind::Line, names_.nameOf(server)}, {0, {}}});
 }
 
 /// A level counts for the products that the table is known to serve.
-void Hub::putLevels(TableId table, ProductSet products) {
-    const orders::TableOrders& orders = book_.table(table);
+void SubscriptionServer::putLevels(TableId table, RequestClassSet products) {
+    const routing::RoutingTable& orders = book_.table(table);
     Topic& topic = topics_.at(topicOf(table));
-    for (std::uint16_t p = 0; p < names_.products(); ++p) {
-        if (!(products & orders.products & 1U << p)) continue;
-        if (const auto level = book_.levelAt(table, {p}))
-            topic.log.put({{Key::Kind::Level, names_.of(ProductId{p})}, {level->level, level->tries}});
+    for (std::uint16_t p = 0; p < names_.requestClassCount(); ++p) {
+        if (!(products & orders.requestClasses & 1U << p)) continue;
+        if (const auto level = book_.effectiveAdmission(table, {p}))
+            topic.log.put(
+                {{Key::Kind::Level, names_.nameOf(RequestClassId{p})}, {level->limit, level->retryPolicy}});
     }
 }
 
-void Hub::levelSet(std::optional<TableId> table, ProductSet products) {
+void SubscriptionServer::admissionChanged(std::optional<TableId> table, RequestClassSet products) {
     dirty_ = true;
     for (const auto& [one, orders] : book_.tables())
         if (!table || one == *table) topic(one), putLevels(one, products);
 }
 
-void Hub::bound(ProxyId proxy, TableId table) {
+void SubscriptionServer::tableAssigned(ProxyId proxy, TableId table) {
     topic(table);
-    putLevels(table, book_.everyProduct());
+    putLevels(table, book_.allRequestClasses());
     const auto found = members_.find(proxy);
-    counters_.holds(found != members_.end());
+    counters_.checkInvariant(found != members_.end());
     if (found != members_.end()) hold(*subscribers_.at(found->second), topicOf(table));
     dirty_ = true;
 }
 
 /// What it has of this very life is brought up by what changed since; all else begins with a snapshot.
-void Hub::hold(Subscriber& one, TopicId topic) {
+void SubscriptionServer::hold(Subscriber& one, TopicId topic) {
     const auto [at, fresh] = one.holdings.try_emplace(topic);
     if (!fresh) return;
     const auto has = std::ranges::find_if(
@@ -119,13 +123,13 @@
         at->second.snapshot = true;
 }
 
-void Hub::watch(Subscriber& one) {
+void SubscriptionServer::watch(Subscriber& one) {
     for (const auto& [table, orders] : book_.tables())
         if (orders.zone == one.zone) topic(table), hold(one, topicOf(table));
 }
 
 /// Only those are concerned for whom something has changed since the last mark.
-void Hub::marked(MarkId number, bool everyProxy) {
+void SubscriptionServer::barrierRequested(BarrierId number, bool everyProxy) {
     std::map<TopicId, Sequence> heads;
     for (const auto& [id, topic] : topics_) heads.emplace(id, topic.log.head());
     for (const auto& [proxy, id] : members_) {
@@ -136,12 +140,12 @@
         if (!concerned && !everyProxy) continue;
         if (!concerned) one.holdings.at(kWithdrawnTopic).greeted = false; // something to answer to
         one.marked(number, heads);
-        book_.written(proxy, number, 0); // its lines are counted here, while they are on their way
+        book_.messageWritten(proxy, number, 0); // its lines are counted here, while they are on their way
     }
     dirty_ = true;
 }
 
-void Hub::flush() {
+void SubscriptionServer::flush() {
     if (std::exchange(dirty_, false)) {
         for (const SubscriberId id : watchers_) watch(*subscribers_.at(id));
         for (auto& [id, one] : subscribers_) pump(*one);
@@ -151,13 +155,13 @@
 
 // ---- bringing subscribers up ------------------------------------------------------------------------------
 
-bool Hub::due(TopicId topic, const Subscriber::Holding& holding) const {
+bool SubscriptionServer::due(TopicId topic, const Subscriber::Holding& holding) const {
     return holding.sending || holding.snapshot || !holding.greeted ||
            holding.sent < topics_.at(topic).log.head();
 }
 
-std::shared_ptr<const Message> Hub::messageFor(Subscriber& one, TopicId topic,
-                                               const Subscriber::Holding& holding) {
+std::shared_ptr<const Message> SubscriptionServer::messageFor(Subscriber& one, TopicId topic,
+                                                              const Subscriber::Holding& holding) {
     Topic& of = topics_.at(topic);
     const bool lost = !of.log.covers(holding.sent);
     if (holding.greeted && (lost || holding.snapshot)) step(one, Input::Lost);
@@ -179,12 +183,12 @@
     if (!kept || !of.log.covers(kept->to) || kept->to < holding.sent ||
         of.log.changedSince(kept->to, few) == few)
         kept = encode(of, topic, {}, true, one.compresses);
-    counters_.add(Count::Snapshots);
+    counters_.add(Counter::Snapshots);
     return kept;
 }
 
-std::shared_ptr<const Message> Hub::encode(const Topic& of, TopicId topic, Sequence since, bool snapshot,
-                                           bool compressed) {
+std::shared_ptr<const Message> SubscriptionServer::encode(const Topic& of, TopicId topic, Sequence since,
+                                                          bool snapshot, bool compressed) {
     const auto entries = snapshot ? of.log.whole() : of.log.since(since);
     auto out = std::make_shared<Message>();
     out->topic = topic;
@@ -192,7 +196,7 @@
     out->urgency = topic == kWithdrawnTopic ? Urgency::Withdrawal
                    : snapshot               ? Urgency::Snapshot
                                             : Urgency::Change;
-    Frame frame{snapshot ? Type::Snapshot : Type::Changes};
+    Frame frame{snapshot ? FrameType::Snapshot : FrameType::Changes};
     frame.topic = topic;
     frame.epoch = epoch_;
     frame.sequence = out->to;
@@ -202,8 +206,9 @@
         TopicBody body;
         if (at == 0 && topic != kWithdrawnTopic) {
             const TableId table{static_cast<std::uint16_t>(topic.value - 1)};
-            for (std::uint16_t p = 0; snapshot && p < names_.products(); ++p)
-                if (book_.table(table).products >> p & 1U) body.products.push_back(names_.of(ProductId{p}));
+            for (std::uint16_t p = 0; snapshot && p < names_.requestClassCount(); ++p)
+                if (book_.table(table).requestClasses >> p & 1U)
+                    body.products.push_back(names_.nameOf(RequestClassId{p}));
         }
         for (std::size_t bytes = 0; at < entries.size() && body.entries.size() < kPartEntries; ++at) {
             bytes += entries[at].key.name.size() + kEntryBytes;
@@ -215,13 +220,13 @@
         out->parts.push_back({std::make_shared<const std::string>(writeFrame(frame, compressed)),
                               std::max<std::size_t>(body.entries.size(), 1)});
         ++frame.part;
-        counters_.add(Count::FramesEncoded);
+        counters_.add(Counter::FramesEncoded);
     } while (at < entries.size());
     return out;
 }
 
 /// Sends what there is room for. `again`: it had waited for room in all.
-void Hub::pump(Subscriber& one, bool again) {
+void SubscriptionServer::pump(Subscriber& one, bool again) {
     if (one.waits || one.state() == State::Greeting || one.state() == State::Leaving) return;
     for (;;) {
         const auto found =
@@ -234,19 +239,19 @@
         const auto message = holding.sending ? holding.sending : messageFor(one, topic, holding);
         const auto& part = message->parts[holding.next];
         switch (pacing_.may(message->urgency, part.lines, part.frame->size(), one.window,
-                            book_.linesOnTheirWay())) {
-        case Pacing::Verdict::OwnFull: step(one, Input::Shut); return;
-        case Pacing::Verdict::AllFull:
+                            book_.unacknowledgedLines())) {
+        case FlowControl::Verdict::OwnFull: step(one, Input::Shut); return;
+        case FlowControl::Verdict::AllFull:
             one.waits = true;
             pacing_.wait(one.id, message->urgency, again);
             return;
-        case Pacing::Verdict::Go: break;
+        case FlowControl::Verdict::Go: break;
         }
         if (!one.target->push(part.frame)) {
             step(one, Input::Shut);
             return;
         }
-        counters_.add(Count::FramesOut);
+        counters_.add(Counter::FramesOut);
         one.sent(*message, holding.next, pacing_, clock_());
         if (++holding.next < message->parts.size()) {
             holding.sending = message;
@@ -260,7 +265,7 @@
     }
 }
 
-void Hub::pumpWaiting() {
+void SubscriptionServer::pumpWaiting() {
     if (std::exchange(pumping_, true)) return;
     while (const auto next = pacing_.next()) {
         const auto found = subscribers_.find(next->first);
@@ -272,49 +277,50 @@
     pumping_ = false;
 }
 
-void Hub::settle(Subscriber& one) {
+void SubscriptionServer::settle(Subscriber& one) {
     const auto mark = one.settled();
     if (!mark || !one.proxy) return;
-    if (!book_.answered(*one.proxy, *mark)) return;
-    counters_.add(Count::Acks);
-    input_().applied(*one.proxy, *mark);
+    if (!book_.barrierAcknowledged(*one.proxy, *mark)) return;
+    counters_.add(Counter::Acks);
+    input_().barrierAcknowledged(*one.proxy, *mark);
 }
 
 // ---- streams ----------------------------------------------------------------------------------------------
 
-Subscriber& Hub::opened(FrameTarget& target) {
+Subscriber& SubscriptionServer::sessionOpened(FrameTarget& target) {
     const SubscriberId id{nextId_++};
     return *subscribers_.emplace(id, std::make_unique<Subscriber>(id, target, clock_())).first->second;
 }
 
-void Hub::ended(Subscriber& gone) {
+void SubscriptionServer::sessionClosed(Subscriber& gone) {
     step(gone, Input::Parted);
     watchers_.erase(gone.id);
     subscribers_.erase(gone.id);
     pumpWaiting();
 }
 
-bool Hub::take(Subscriber& from, const Frame& frame) {
-    static constexpr std::pair<Type, Call> kCalls[] = {
-        {Type::Hello, &Hub::hello}, {Type::Applied, &Hub::applied}, {Type::Ask, &Hub::ask},
-        {Type::Usage, &Hub::usage}, {Type::Beat, &Hub::beat},       {Type::Bye, &Hub::bye}};
-    counters_.add(Count::FramesIn);
+bool SubscriptionServer::handleFrame(Subscriber& from, const Frame& frame) {
+    static constexpr std::pair<FrameType, Call> kCalls[] = {
+        {FrameType::Hello, &SubscriptionServer::hello}, {FrameType::Applied, &SubscriptionServer::applied},
+        {FrameType::Ask, &SubscriptionServer::ask},     {FrameType::Usage, &SubscriptionServer::usage},
+        {FrameType::Beat, &SubscriptionServer::beat},   {FrameType::Bye, &SubscriptionServer::bye}};
+    counters_.add(Counter::FramesIn);
     if (from.state() == State::Leaving) return false;
     from.heardAt = clock_();
-    if ((from.state() == State::Greeting) != (frame.type == Type::Hello))
+    if ((from.state() == State::Greeting) != (frame.type == FrameType::Hello))
         return step(from, Input::Garbled,
-                    frame.type == Type::Hello ? "a second greeting" : "no greeting came first");
-    const auto* const call = std::ranges::find(kCalls, frame.type, &std::pair<Type, Call>::first);
-    if (call == std::end(kCalls)) return counters_.add(Count::FramesSkipped), true; // of a later version
+                    frame.type == FrameType::Hello ? "a second greeting" : "no greeting came first");
+    const auto* const call = std::ranges::find(kCalls, frame.type, &std::pair<FrameType, Call>::first);
+    if (call == std::end(kCalls)) return counters_.add(Counter::FramesSkipped), true; // of a later version
     return (this->*call->second)(from, frame);
 }
 
-void Hub::garbled(Subscriber& from, const std::string& fault) {
-    counters_.passedOver(Count::BadFrames, fault);
+void SubscriptionServer::protocolError(Subscriber& from, const std::string& fault) {
+    counters_.recordIgnored(Counter::BadFrames, fault);
     step(from, Input::Garbled, fault);
 }
 
-bool Hub::hello(Subscriber& from, const Frame& frame) {
+bool SubscriptionServer::hello(Subscriber& from, const Frame& frame) {
     const auto greeting = readHello(frame.body);
     if (!greeting) return step(from, Input::Garbled, "a greeting that can't be used");
     const auto zone = names_.zone(greeting->zone);
@@ -329,12 +335,12 @@
     from.compresses = greeting->features & kCompression;
     if (!step(from, Input::Joined)) return false;
     hold(from, kWithdrawnTopic);
-    counters_.add(Count::Subscriptions);
+    counters_.add(Counter::Subscriptions);
     if (greeting->proxy) {
         from.proxy = greeting->proxy;
-        if (book_.joined(*from.proxy, *zone, *this)) counters_.add(Count::Takeovers);
+        if (book_.proxyJoined(*from.proxy, *zone, *this)) counters_.add(Counter::Takeovers);
         members_.insert_or_assign(*from.proxy, from.id);
-        input_().joined(*from.proxy, *zone, greeting->weight, greeting->fresh);
+        input_().proxyJoined(*from.proxy, *zone, greeting->weight, greeting->fresh);
     } else {
         watchers_.insert(from.id);
         watch(from);
@@ -343,20 +349,21 @@
     return true;
 }
 
-bool Hub::applied(Subscriber& from, const Frame& frame) {
+bool SubscriptionServer::applied(Subscriber& from, const Frame& frame) {
     const auto part = frame.more ? std::optional(frame.part) : std::nullopt;
     if (frame.epoch != epoch_ || !from.acked(frame.topic, frame.sequence, part, pacing_, clock_()))
-        return counters_.passedOver(Count::BadMark, "an answer to what was not sent"), true;
+        return counters_.recordIgnored(Counter::BadMark, "an answer to what was not sent"), true;
     settle(from);
     pump(from);
     pumpWaiting();
     return true;
 }
 
-bool Hub::ask(Subscriber& from, const Frame& frame) {
+bool SubscriptionServer::ask(Subscriber& from, const Frame& frame) {
     const auto found = from.holdings.find(frame.topic);
     if (found == from.holdings.end())
-        return counters_.passedOver(Count::BadField, "a snapshot of a topic that it does not hold"), true;
+        return counters_.recordIgnored(Counter::BadField, "a snapshot of a topic that it does not hold"),
+               true;
     auto& holding = found->second;
     holding.snapshot = true;
     holding.sending.reset(); // what is half sent is of no use to it
@@ -365,24 +372,25 @@
     return true;
 }
 
-bool Hub::usage(Subscriber& from, const Frame& frame) {
+bool SubscriptionServer::usage(Subscriber& from, const Frame& frame) {
     const auto line = readUsage(frame.body);
-    const auto product = line ? names_.product(line->product) : std::nullopt;
-    if (!line || !product || !from.proxy || line->txns > kTxnsMost || line->voided > kTxnsMost ||
-        line->span > kSpanMost)
-        return counters_.passedOver(line && !product ? Count::BadName : Count::BadField, "usage"), true;
-    counters_.add(Count::Demands);
-    input_().usage({*from.proxy, *product, line->txns, line->voided, line->span});
+    const auto product = line ? names_.requestClass(line->requestClass) : std::nullopt;
+    if (!line || !product || !from.proxy || line->requests > kTxnsMost || line->unanswered > kTxnsMost ||
+        line->interval > kSpanMost)
+        return counters_.recordIgnored(line && !product ? Counter::BadName : Counter::BadField, "usage"),
+               true;
+    counters_.add(Counter::Demands);
+    input_().reportDemand({*from.proxy, *product, line->requests, line->unanswered, line->interval});
     return true;
 }
 
-bool Hub::beat(Subscriber&, const Frame&) { return true; }
+bool SubscriptionServer::beat(Subscriber&, const Frame&) { return true; }
 
-bool Hub::bye(Subscriber& from, const Frame&) { return step(from, Input::Parted); }
+bool SubscriptionServer::bye(Subscriber& from, const Frame&) { return step(from, Input::Parted); }
 
-void Hub::replaced(ProxyId proxy) {
+void SubscriptionServer::sessionReplaced(ProxyId proxy) {
     const auto found = members_.find(proxy);
-    counters_.holds(found != members_.end());
+    counters_.checkInvariant(found != members_.end());
     if (found == members_.end()) return;
     Subscriber& old = *subscribers_.at(found->second);
     old.proxy.reset(); // it is not this stream's any more, so its end is no leaving
@@ -390,27 +398,28 @@
     step(old, Input::Replaced, "a newer stream of this proxy is up");
 }
 
-bool Hub::step(Subscriber& one, Input input, std::string_view reason) {
-    const auto parting = [&](Type type, bool again) {
+bool SubscriptionServer::step(Subscriber& one, Input input, std::string_view reason) {
+    const auto parting = [&](FrameType type, bool again) {
         std::optional<Micros> after;
         if (again) after = comeBack_.after(clock_());
-        counters_.passedOver(Count::LetGo, reason);
+        counters_.recordIgnored(Counter::LetGo, reason);
         depart(one);
-        one.target->leave(*frameOf(type, write(Parting{std::string(reason.substr(0, 200)), after})));
+        one.target->leave(*frameOf(type, write(DisconnectNotice{std::string(reason.substr(0, 200)), after})));
     };
     const Effect effect = one.step(input);
     switch (effect) {
     case Effect::Nothing: break;
     case Effect::Welcome: {
         const std::uint32_t features = one.compresses ? kCompression : 0;
-        one.target->push(frameOf(Type::Welcome,
-                                 write(Welcome{kVersion, features, planner_, leases_.beat, leases_.lease})));
+        one.target->push(frameOf(
+            FrameType::Welcome,
+            write(Welcome{kVersion, features, planner_, leases_.heartbeatInterval, leases_.leaseDuration})));
         break;
     }
-    case Effect::CountLag: counters_.add(Count::Lags); break;
-    case Effect::CountResync: counters_.add(Count::Resyncs); break;
-    case Effect::Refuse: parting(Type::Refused, input == Input::Off); break;
-    case Effect::SayBye: parting(Type::Bye, input != Input::Replaced); break;
+    case Effect::CountLag: counters_.add(Counter::Lags); break;
+    case Effect::CountResync: counters_.add(Counter::Resyncs); break;
+    case Effect::Refuse: parting(FrameType::Refused, input == Input::Off); break;
+    case Effect::SayBye: parting(FrameType::Bye, input != Input::Replaced); break;
     case Effect::Close:
         depart(one);
         one.target->leave({});
@@ -420,39 +429,39 @@
 }
 
 /// Its proxy has left, and what it owes is not waited for. The subscriber itself stays until its stream ends.
-void Hub::depart(Subscriber& one) {
+void SubscriptionServer::depart(Subscriber& one) {
     one.abandon(pacing_);
     for (auto& [topic, holding] : one.holdings) holding.sending.reset();
     if (!one.proxy) return;
     const ProxyId proxy = *std::exchange(one.proxy, {});
     members_.erase(proxy);
-    if (!book_.left(proxy, *this)) return;
-    counters_.add(Count::StreamsEnded);
-    input_().left(proxy);
+    if (!book_.proxyLeft(proxy, *this)) return;
+    counters_.add(Counter::StreamsEnded);
+    input_().proxyLeft(proxy);
 }
 
-SharedFrame Hub::frameOf(Type type, std::string body) {
+SharedFrame SubscriptionServer::frameOf(FrameType type, std::string body) {
     Frame frame{type};
     frame.epoch = epoch_;
     frame.body = std::move(body);
     return std::make_shared<const std::string>(writeFrame(frame, false));
 }
 
-void Hub::turn() {
+void SubscriptionServer::tick() {
     const Micros now = clock_();
     std::map<Heads, SharedFrame> beats; // one for all who hold the same topics
     for (auto& [id, one] : subscribers_) {
         if (one->state() == State::Greeting || one->state() == State::Leaving) continue;
-        if (one->owes() && now - one->movedAt > leases_.patience && !one->window.stuck) {
-            counters_.add(Count::Stuck);
+        if (one->owes() && now - one->movedAt > leases_.ackTimeout && !one->window.stuck) {
+            counters_.add(Counter::Stuck);
             pacing_.stuck(one->window);
         }
-        if (id.value % kTurns != turn_) continue;
-        if (now - one->heardAt > leases_.lease) {
+        if (id.value % kTicksPerHeartbeat != turn_) continue;
+        if (now - one->heardAt > leases_.leaseDuration) {
             step(*one, Input::Silent, "nothing was heard for the length of its lease");
             continue;
         }
-        if (one->owes() && now - one->movedAt > leases_.stall) {
+        if (one->owes() && now - one->movedAt > leases_.stallTimeout) {
             step(*one, Input::Stalled, "it answers nothing of what it was sent");
             continue;
         }
@@ -460,14 +469,14 @@
         for (const auto& [topic, holding] : one->holdings)
             heads.emplace_back(topic, topics_.at(topic).log.head());
         auto& frame = beats[heads];
-        if (!frame) frame = frameOf(Type::Beat, write(heads));
+        if (!frame) frame = frameOf(FrameType::Beat, write(heads));
         one->target->push(frame);
     }
-    turn_ = (turn_ + 1) % kTurns;
+    turn_ = (turn_ + 1) % kTicksPerHeartbeat;
     pumpWaiting();
 }
 
-void Hub::off() {
+void SubscriptionServer::suspend() {
     off_ = true;
     for (auto& [id, one] : subscribers_) step(*one, Input::Off, "the channel is switched off");
 }
--- a/src/pubsub/hub.h
+++ b/src/pubsub/subscription_server.h
@@ -13,68 +13,68 @@
 #include <string>
 
 #include "metrics/counters.h"
-#include "orders/names.h"
-#include "orders/order_book.h"
-#include "pubsub/pacing.h"
+#include "pubsub/flow_control.h"
 #include "pubsub/subscriber.h"
 #include "pubsub/topic_log.h"
 #include "pubsub/wire.h"
+#include "routing/name_registry.h"
+#include "routing/routing_state.h"
 
 namespace zincstack::pubsub {
 
-struct LeaseTerms {
-    Micros beat = std::chrono::seconds(1);            ///< how often each side says something
-    Micros lease = std::chrono::seconds(5);           ///< who has said nothing for so long has left
-    Micros patience = std::chrono::milliseconds(500); ///< who owes an answer for so long stands still
-    Micros stall = std::chrono::seconds(20);          ///< and for so long is let go
-    std::uint32_t backASecond = 200; ///< how many that are sent away may come back in a second
+struct LeaseConfig {
+    Micros heartbeatInterval = std::chrono::seconds(1); ///< how often each side says something
+    Micros leaseDuration = std::chrono::seconds(5);     ///< who has said nothing for so long has left
+    Micros ackTimeout = std::chrono::milliseconds(500); ///< who owes an answer for so long stands still
+    Micros stallTimeout = std::chrono::seconds(20);     ///< and for so long is let go
+    std::uint32_t reconnectsPerSecond = 200; ///< how many that are sent away may come back in a second
 };
 
-class Hub final : public orders::Front {
+class SubscriptionServer final : public routing::UpdateTransport {
 public:
     using Clock = std::function<Micros()>;
-    /// The planner, in a batch that is open (Engine::input).
+    /// The planner, in a batch that is open (BatchRunner::openBatch).
     using InputOf = std::function<Planner&()>;
 
-    /// `epoch`: of this planner life, never used before. `proxies`: how many there are (ForwarderTerms).
+    /// `epoch`: of this planner life, never used before. `proxies`: how many there are (ProxyFleetConfig).
     /// `tombstones`: entries taken out of a topic that are remembered.
-    Hub(orders::OrderBook& book, const net::Names& names, net::Counters& counters, std::string planner,
-        Epoch epoch, std::uint32_t proxies, const PaceTerms& pace, const LeaseTerms& leases,
-        std::size_t tombstones, InputOf input, Clock clock);
-    ~Hub() override;
-    Hub(const Hub&) = delete;
-    Hub& operator=(const Hub&) = delete;
+    SubscriptionServer(routing::RoutingState& book, const net::NameRegistry& names, net::Counters& counters,
+                       std::string planner, Epoch epoch, std::uint32_t proxies, const FlowControlLimits& pace,
+                       const LeaseConfig& leases, std::size_t tombstones, InputOf input, Clock clock);
+    ~SubscriptionServer() override;
+    SubscriptionServer(const SubscriptionServer&) = delete;
+    SubscriptionServer& operator=(const SubscriptionServer&) = delete;
 
     // -- streams --
     /// A stream is up; the subscriber is the hub's until `ended`.
-    Subscriber& opened(FrameTarget& target);
+    Subscriber& sessionOpened(FrameTarget& target);
     /// False: nothing more is taken on its stream.
-    bool take(Subscriber& from, const Frame& frame);
+    bool handleFrame(Subscriber& from, const Frame& frame);
     /// What it says can't be read.
-    void garbled(Subscriber& from, const std::string& fault);
-    void ended(Subscriber& gone);
+    void protocolError(Subscriber& from, const std::string& fault);
+    void sessionClosed(Subscriber& gone);
     /// A turn of beats, leases and stalls: one of `kTurns` in each beat.
-    void turn();
-    static constexpr std::uint32_t kTurns = 10;
+    void tick();
+    static constexpr std::uint32_t kTicksPerHeartbeat = 10;
     /// The channel is switched off: every subscriber is told when to come back. Its topics go on, so that who
     /// comes back after `on` needs only what changed.
-    void off();
-    void on() { off_ = false; }
+    void suspend();
+    void resume() { off_ = false; }
 
     // -- what the order book tells --
-    void lineSet(TableId table, ServerId server, double weight) override;
-    void bound(ProxyId proxy, TableId table) override;
-    void withdrawn(ServerId server, bool out) override;
-    void levelSet(std::optional<TableId> table, ProductSet products) override;
-    void marked(MarkId number, bool everyProxy) override;
-    void forgotten(ServerId server) override;
-    void replaced(ProxyId proxy) override;
+    void weightChanged(TableId table, EndpointId server, double weight) override;
+    void tableAssigned(ProxyId proxy, TableId table) override;
+    void exclusionChanged(EndpointId server, bool out) override;
+    void admissionChanged(std::optional<TableId> table, RequestClassSet products) override;
+    void barrierRequested(BarrierId number, bool everyProxy) override;
+    void endpointForgotten(EndpointId server) override;
+    void sessionReplaced(ProxyId proxy) override;
     void flush() override;
-    double linesOnTheirWay() const override { return static_cast<double>(pacing_.lines()); }
+    double unacknowledgedLines() const override { return static_cast<double>(pacing_.lines()); }
 
     std::size_t subscribers() const { return subscribers_.size(); }
     std::size_t inState(State state) const;
-    const Pacing& pacing() const { return pacing_; }
+    const FlowControl& pacing() const { return pacing_; }
     const TopicLog* log(TopicId topic) const;
     Epoch epoch() const { return epoch_; }
 
@@ -88,7 +88,7 @@
         std::map<std::pair<Sequence, bool>, std::shared_ptr<const Message>> changes;
         std::shared_ptr<const Message> snapshot[2];
     };
-    using Call = bool (Hub::*)(Subscriber&, const Frame&);
+    using Call = bool (SubscriptionServer::*)(Subscriber&, const Frame&);
     bool hello(Subscriber& from, const Frame& frame);
     bool applied(Subscriber& from, const Frame& frame);
     bool ask(Subscriber& from, const Frame& frame);
@@ -97,7 +97,7 @@
     bool bye(Subscriber& from, const Frame& frame);
 
     Topic& topic(TableId table);
-    void putLevels(TableId table, ProductSet products);
+    void putLevels(TableId table, RequestClassSet products);
     void hold(Subscriber& one, TopicId topic);
     void watch(Subscriber& one);
     bool due(TopicId topic, const Subscriber::Holding& holding) const;
@@ -111,20 +111,20 @@
     /// False: nothing more is taken on its stream.
     bool step(Subscriber& one, Input input, std::string_view reason = {});
     void depart(Subscriber& one);
-    SharedFrame frameOf(Type type, std::string body);
+    SharedFrame frameOf(FrameType type, std::string body);
 
-    orders::OrderBook& book_;
-    const net::Names& names_;
+    routing::RoutingState& book_;
+    const net::NameRegistry& names_;
     net::Counters& counters_;
     const std::string planner_;
     const Epoch epoch_;
     const std::uint32_t proxies_;
-    const LeaseTerms leases_;
+    const LeaseConfig leases_;
     const std::size_t tombstones_;
     const InputOf input_;
     const Clock clock_;
-    Pacing pacing_;
-    ComeBack comeBack_;
+    FlowControl pacing_;
+    RetryAfterPlanner comeBack_;
     std::map<TopicId, Topic> topics_;
     std::map<SubscriberId, std::unique_ptr<Subscriber>> subscribers_;
     std::map<ProxyId, SubscriberId> members_;
--- a/src/pubsub/topic_log.h
+++ b/src/pubsub/topic_log.h
@@ -33,7 +33,7 @@
 struct Value {
     /// Line: weight, 0 takes it out. Level: a share or a rate. Out: 1 withdrawn, 0 let back.
     double figure = 0;
-    FurtherTries tries = FurtherTries::None; ///< of a level
+    RetryPolicy tries = RetryPolicy::Never; ///< of a level
     friend bool operator==(const Value&, const Value&) = default;
 };
 struct Entry {
--- a/src/pubsub/wire.cpp
+++ b/src/pubsub/wire.cpp
@@ -118,7 +118,7 @@
 
 std::optional<std::string> readFrame(std::string_view whole, Frame& into) {
     const unsigned flags = get<std::uint8_t>(whole, 8);
-    into.type = static_cast<Type>(get<std::uint8_t>(whole, 4));
+    into.type = static_cast<FrameType>(get<std::uint8_t>(whole, 4));
     into.version = get<std::uint8_t>(whole, 5);
     into.topic = {get<std::uint16_t>(whole, 6)};
     into.more = flags & kMore;
@@ -229,34 +229,35 @@
                    *beat, *lease};
 }
 
-std::string write(const Parting& parting) {
+std::string write(const DisconnectNotice& parting) {
     Tree out{{"reason", parting.reason}};
-    if (parting.again) out["again_us"] = parting.again->count();
+    if (parting.retryAfter) out["again_us"] = parting.retryAfter->count();
     return writeCbor(out);
 }
 
-std::optional<Parting> readParting(std::string_view body) {
+std::optional<DisconnectNotice> readParting(std::string_view body) {
     const Tree all = treeOf(body);
     const auto* reason = nameOf(member(all, "reason"));
     if (!reason) return {};
-    return Parting{*reason, spanOf(member(all, "again_us"))};
+    return DisconnectNotice{*reason, spanOf(member(all, "again_us"))};
 }
 
-std::string write(const UsageLine& line) {
-    return writeCbor({{"product", line.product},
-                      {"txns", line.txns},
-                      {"voided", line.voided},
-                      {"span_us", line.span.count()}});
+std::string write(const DemandRecord& line) {
+    return writeCbor({{"product", line.requestClass},
+                      {"txns", line.requests},
+                      {"voided", line.unanswered},
+                      {"span_us", line.interval.count()}});
 }
 
-std::optional<UsageLine> readUsage(std::string_view body) {
+std::optional<DemandRecord> readUsage(std::string_view body) {
     const Tree all = treeOf(body);
     const auto* product = nameOf(member(all, "product"));
     const auto txns = wholeOf(member(all, "txns"), UINT32_MAX),
                voided = wholeOf(member(all, "voided"), UINT32_MAX);
     const auto span = spanOf(member(all, "span_us"));
     if (!product || !txns || !voided || !span) return {};
-    return UsageLine{*product, static_cast<std::uint32_t>(*txns), static_cast<std::uint32_t>(*voided), *span};
+    return DemandRecord{*product, static_cast<std::uint32_t>(*txns), static_cast<std::uint32_t>(*voided),
+                        *span};
 }
 
 std::string write(const Heads& heads) {
@@ -323,7 +324,7 @@
             const auto figure = figureOf(level ? value[0] : value);
             const auto tries = level ? wholeOf(value[1], 3) : std::optional<std::uint64_t>(0);
             if (!figure || !tries) return {};
-            out.entries.push_back({{kind, key}, {*figure, static_cast<FurtherTries>(*tries)}});
+            out.entries.push_back({{kind, key}, {*figure, static_cast<RetryPolicy>(*tries)}});
         }
     }
     return out;
--- a/src/pubsub/wire.h
+++ b/src/pubsub/wire.h
@@ -35,7 +35,7 @@
 inline constexpr std::size_t kBodyMost = 256 * 1024;        ///< of a body once it is unpacked
 inline constexpr std::size_t kPartEntries = 256;            ///< of one part of a snapshot
 
-enum class Type : std::uint8_t {
+enum class FrameType : std::uint8_t {
     // to the planner
     Hello = 1,
     Applied =
@@ -56,7 +56,7 @@
 inline constexpr std::uint32_t kCompression = 1; ///< bodies from the planner may be compressed by zstd
 
 struct Frame {
-    Type type{};
+    FrameType type{};
     std::uint8_t version = kVersion;
     TopicId topic{};
     bool more = false; ///< a further part follows; nothing is in use before the last one
@@ -105,14 +105,14 @@
     std::string planner;
     Micros beat{}, lease{}; ///< how often either side says something; after so long of silence it is gone
 };
-struct Parting { ///< of Bye and Refused
+struct DisconnectNotice { ///< of Bye and Refused
     std::string reason;
-    std::optional<Micros> again; ///< when to come back; none: that is not known, or not at all
+    std::optional<Micros> retryAfter; ///< when to come back; none: that is not known, or not at all
 };
-struct UsageLine {
-    std::string product;
-    std::uint32_t txns = 0, voided = 0;
-    Micros span{};
+struct DemandRecord {
+    std::string requestClass;
+    std::uint32_t requests = 0, unanswered = 0;
+    Micros interval{};
 };
 using Heads = std::vector<std::pair<TopicId, Sequence>>;
 struct TopicBody {                     ///< of Snapshot and Changes
@@ -122,15 +122,15 @@
 
 std::string write(const Hello& hello);
 std::string write(const Welcome& welcome);
-std::string write(const Parting& parting);
-std::string write(const UsageLine& line);
+std::string write(const DisconnectNotice& parting);
+std::string write(const DemandRecord& line);
 std::string write(const Heads& heads);
 std::string write(const TopicBody& body);
 
 std::optional<Hello> readHello(std::string_view body);
 std::optional<Welcome> readWelcome(std::string_view body);
-std::optional<Parting> readParting(std::string_view body);
-std::optional<UsageLine> readUsage(std::string_view body);
+std::optional<DisconnectNotice> readParting(std::string_view body);
+std::optional<DemandRecord> readUsage(std::string_view body);
 std::optional<Heads> readHeads(std::string_view body);
 std::optional<TopicBody> readTopic(std::string_view body);
 
--- a/src/orders/names.h
+++ b/src/routing/name_registry.h
@@ -14,30 +14,30 @@
 
 namespace zincstack::net {
 
-class Names {
+class NameRegistry {
 public:
-    Names(std::vector<std::string> products, std::vector<std::string> zones)
+    NameRegistry(std::vector<std::string> products, std::vector<std::string> zones)
         : products_(std::move(products)), zones_(std::move(zones)) {}
 
-    std::optional<ProductId> product(std::string_view name) const {
-        return place<ProductId>(products_, name);
+    std::optional<RequestClassId> requestClass(std::string_view name) const {
+        return place<RequestClassId>(products_, name);
     }
     std::optional<ZoneId> zone(std::string_view name) const { return place<ZoneId>(zones_, name); }
-    std::optional<ServerId> server(std::string_view name) const {
+    std::optional<EndpointId> endpoint(std::string_view name) const {
         const auto at = index_.find(name);
         if (at == index_.end()) return {};
         return at->second;
     }
     /// The id of a server that the list names; it keeps it until it is forgotten, and no other ever gets it.
-    ServerId listed(std::string_view name) {
-        if (const auto known = server(name)) return *known;
-        const ServerId id{next_++};
+    EndpointId registerEndpoint(std::string_view name) {
+        if (const auto known = endpoint(name)) return *known;
+        const EndpointId id{next_++};
         servers_.emplace(id, Server{std::string(name), {}, forgotten_.contains(name)});
         index_.emplace(name, id);
         return id;
     }
-    void moved(ServerId id, std::string_view address) { servers_.at(id).address = address; }
-    void forget(ServerId id) {
+    void setAddress(EndpointId id, std::string_view address) { servers_.at(id).address = address; }
+    void forget(EndpointId id) {
         if (const auto at = servers_.find(id); at != servers_.end()) {
             if (forgotten_.insert(at->second.name).second) oldest_.push_back(at->second.name);
             if (oldest_.size() > kForgottenMost) forgotten_.erase(oldest_.front()), oldest_.pop_front();
@@ -45,19 +45,19 @@
             servers_.erase(at);
         }
     }
-    const std::string& of(ServerId id) const { return servers_.at(id).name; }
+    const std::string& nameOf(EndpointId id) const { return servers_.at(id).name; }
     /// It was forgotten before and is named anew, so streams may have been told of it under its former id.
-    bool returned(ServerId id) const {
+    bool wasForgotten(EndpointId id) const {
         const auto at = servers_.find(id);
         return at != servers_.end() && at->second.returned;
     }
     /// Empty where it is forgotten.
-    std::string address(ServerId id) const {
+    std::string address(EndpointId id) const {
         const auto at = servers_.find(id);
         return at == servers_.end() ? std::string{} : at->second.address;
     }
-    const std::string& of(ProductId id) const { return products_[id.value]; }
-    std::size_t products() const { return products_.size(); }
+    const std::string& nameOf(RequestClassId id) const { return products_[id.value]; }
+    std::size_t requestClassCount() const { return products_.size(); }
 
 private:
     template <class IdType>
@@ -72,11 +72,11 @@
     };
     static constexpr std::size_t kForgottenMost = 2048; // names kept of servers that are forgotten
     std::vector<std::string> products_, zones_;
-    std::map<ServerId, Server> servers_;
+    std::map<EndpointId, Server> servers_;
     std::uint64_t next_ = 0;
     std::set<std::string, std::less<>> forgotten_;
     std::deque<std::string> oldest_; // of them, first
-    std::map<std::string, ServerId, std::less<>> index_;
+    std::map<std::string, EndpointId, std::less<>> index_;
 };
 
 } // namespace zincstack::net
--- a/src/simwire/codec.cpp
+++ b/src/simwire/codec.cpp
@@ -10,8 +10,8 @@
 }
 
 void FieldReader::fail(std::string_view field, std::string_view what) const {
-    throw Malformed(std::string(record_) + "." + std::string(field) + " at offset " +
-                    std::to_string(offset_) + ": " + std::string(what));
+    throw InputError(std::string(record_) + "." + std::string(field) + " at offset " +
+                     std::to_string(offset_) + ": " + std::string(what));
 }
 
 std::span<const std::byte> FieldReader::take(std::string_view field, std::size_t size) {
@@ -43,8 +43,8 @@
     return value == 1;
 }
 
-ServerId FieldReader::server(std::string_view field) {
-    ServerId out;
+EndpointId FieldReader::server(std::string_view field) {
+    EndpointId out;
     std::memcpy(&out.value, take(field, 6).data(), 6);
     return out;
 }
--- a/src/simwire/codec.h
+++ b/src/simwire/codec.h
@@ -12,8 +12,8 @@
 #include <type_traits>
 #include <vector>
 
+#include "errors/input_error.h"
 #include "planner/planner.h"
-#include "terms/malformed.h"
 
 namespace zincstack::simwire {
 
@@ -44,7 +44,7 @@
     double shortNumber(std::string_view field);
     Micros time(std::string_view field) { return toMicros(number(field), field); }
     bool flag(std::string_view field);
-    ServerId server(std::string_view field);
+    EndpointId server(std::string_view field);
     std::span<const std::byte> bytes(std::string_view field, std::size_t size) { return take(field, size); }
     std::size_t left() const { return rest_.size(); }
     std::size_t offset() const { return offset_; }
@@ -88,7 +88,7 @@
             if (!std::isfinite(value) || value < 0) throw std::range_error("a number below 0 or not finite");
         raw(&value, sizeof value);
     }
-    void put(const ServerId& server) { raw(&server.value, 6); }
+    void put(const EndpointId& server) { raw(&server.value, 6); }
     void put(std::string_view text);
     void raw(const void* from, std::size_t size) {
         const auto* first = static_cast<const std::byte*>(from);
--- a/src/simwire/host.cpp
+++ b/src/simwire/host.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <exception>
 
-#include "terms/start_terms.h"
+#include "config/start_settings.h"
 
 namespace zincstack::simwire {
 
@@ -51,28 +51,29 @@
 }
 
 /// Turns the planner's orders into actions of one instance.
-class WireSink final : public OrderSink {
+class WireSink final : public RoutingUpdateSink {
 public:
     WireSink(ReplyWriter& reply, std::uint32_t who) : reply_(reply), who_(who) {}
-    void setLine(TableId table, ServerId server, double weight) override {
+    void setWeight(TableId table, EndpointId server, double weight) override {
         reply_.record(kEndpoint, who_, server, table.value, static_cast<float>(weight));
     }
-    void bind(ProxyId proxy, ProductSet products, TableId table) override {
+    void assignTable(ProxyId proxy, RequestClassSet products, TableId table) override {
         reply_.record(kHandTable, who_, products, table.value, proxy.value);
     }
-    void withdraw(ServerId server, bool out) override {
+    void setExcluded(EndpointId server, bool out) override {
         reply_.record(kCordon, who_, server, static_cast<std::uint8_t>(out));
     }
-    void admit(std::optional<TableId> table, ProductSet products, double level, FurtherTries tries) override {
+    void setAdmission(std::optional<TableId> table, RequestClassSet products, double level,
+                      RetryPolicy tries) override {
         reply_.record(kAdmit, who_, table ? table->value : kEveryTable, products, static_cast<float>(level),
                       static_cast<std::uint8_t>(tries));
     }
-    void mark(MarkId number, bool everyProxy) override {
+    void requestBarrier(BarrierId number, bool everyProxy) override {
         reply_.record(kStamp, who_, static_cast<std::uint8_t>(everyProxy), std::uint64_t{number.value});
     }
-    void probe(ServerId server) override { reply_.record(kAskLoad, who_, server); }
-    void followList() override { reply_.record(kTrack, who_, std::uint8_t{1}); }
-    void wakeAfter(Micros span) override {
+    void probe(EndpointId server) override { reply_.record(kAskLoad, who_, server); }
+    void subscribeToEndpoints() override { reply_.record(kTrack, who_, std::uint8_t{1}); }
+    void scheduleWakeUp(Micros span) override {
         reply_.record(kSchedule, who_, kWakeTag, static_cast<double>(span.count()) / 1e6);
     }
     void log(std::string_view line) override { reply_.record(kLog, who_, line); }
@@ -108,8 +109,8 @@
         at += kRecordHeaderBytes + size;
     }
     if (at != body.size())
-        throw Malformed("batch.length at offset 4: " + std::to_string(body.size() - at) +
-                        " bytes are left after the last record");
+        throw InputError("batch.length at offset 4: " + std::to_string(body.size() - at) +
+                         " bytes are left after the last record");
     for (const auto who : touched_) {
         const auto found = hosted_.find(who);
         if (found == hosted_.end() || !found->second->touched) continue;
@@ -139,7 +140,7 @@
     if (!at.touched) {
         at.touched = true;
         touched_.push_back(who);
-        guarded(who, at, [&](Planner& planner) { planner.begin(clock_); });
+        guarded(who, at, [&](Planner& planner) { planner.beginBatch(clock_); });
     }
     return at;
 }
@@ -163,23 +164,23 @@
         hosted_.erase(who);
         return;
     case kIntake: {
-        UsageSums line;
-        line.txns = in.whole<std::uint32_t>("TriesN");
+        DemandReport line;
+        line.requests = in.whole<std::uint32_t>("TriesN");
         line.proxy = {in.whole<std::uint16_t>("Proxy")};
-        line.product = {in.whole<std::uint16_t>("Band")};
-        line.span = in.time("ElapsedS");
-        line.voided = in.whole<std::uint32_t>("Unanswered");
+        line.requestClass = {in.whole<std::uint16_t>("Band")};
+        line.interval = in.time("ElapsedS");
+        line.unanswered = in.whole<std::uint32_t>("Unanswered");
         in.done();
-        return guarded(who, hosted(who, in), [&](Planner& planner) { planner.usage(line); });
+        return guarded(who, hosted(who, in), [&](Planner& planner) { planner.reportDemand(line); });
     }
     case kTimeoutFired:
         in.whole<std::uint64_t>("Tag");
         in.done();
-        return guarded(who, hosted(who, in), [](Planner& planner) { planner.woken(); });
+        return guarded(who, hosted(who, in), [](Planner& planner) { planner.timerExpired(); });
     case kLeft: {
         const ProxyId proxy{in.whole<std::uint16_t>("Proxy")};
         in.done();
-        return guarded(who, hosted(who, in), [&](Planner& planner) { planner.left(proxy); });
+        return guarded(who, hosted(who, in), [&](Planner& planner) { planner.proxyLeft(proxy); });
     }
     case kTookEffect: {
         const ProxyId proxy{in.whole<std::uint16_t>("Proxy")};
@@ -187,8 +188,9 @@
         if (number > 65535) in.fail("Epoch", "a mark above 65535");
         in.time("DelaySeenS");
         in.done();
-        const MarkId mark{static_cast<std::uint16_t>(number)};
-        return guarded(who, hosted(who, in), [&](Planner& planner) { planner.applied(proxy, mark); });
+        const BarrierId mark{static_cast<std::uint16_t>(number)};
+        return guarded(who, hosted(who, in),
+                       [&](Planner& planner) { planner.barrierAcknowledged(proxy, mark); });
     }
     case kDialledIn: {
         const ProxyId proxy{in.whole<std::uint16_t>("Proxy")};
@@ -197,47 +199,49 @@
         const bool onlyStanding = in.flag("Flag");
         in.done();
         return guarded(who, hosted(who, in),
-                       [&](Planner& planner) { planner.joined(proxy, zone, usual, onlyStanding); });
+                       [&](Planner& planner) { planner.proxyJoined(proxy, zone, usual, onlyStanding); });
     }
     case kProbeDone: {
         ProbeResult result;
-        result.server = in.server("Server");
+        result.endpoint = in.server("Server");
         const auto status = in.whole<std::uint16_t>("Status");
         if (status > 5) in.fail("Status", "no result of a probe: " + std::to_string(status));
         result.status = static_cast<ProbeStatus>(status);
-        result.delay = in.time("DelaySeenS");
+        result.latency = in.time("DelaySeenS");
         Hosted& at = hosted(who, in);
-        result.report = report(in, at);
+        result.load = report(in, at);
         in.done();
-        return guarded(who, at, [&](Planner& planner) { planner.probed(result); });
+        return guarded(who, at, [&](Planner& planner) { planner.probeCompleted(result); });
     }
     case kTargets: {
         const auto form = in.whole<std::uint8_t>("Form");
         if (form > 3) in.fail("Form", "no kind of list: " + std::to_string(form));
         in.whole<std::uint64_t>("Epoch");
         const auto number = in.whole<std::uint16_t>("Table");
-        static constexpr std::array kForms = {ListNews::Cached, ListNews::Failed, ListNews::Changes,
-                                              ListNews::Whole};
-        const ListNews news = kForms[form];
-        if (news != ListNews::Failed && number >= pools_.size())
+        static constexpr std::array kForms = {EndpointListUpdate::Cached, EndpointListUpdate::PollFailed,
+                                              EndpointListUpdate::Delta, EndpointListUpdate::Snapshot};
+        const EndpointListUpdate news = kForms[form];
+        if (news != EndpointListUpdate::PollFailed && number >= pools_.size())
             in.fail("Table", "no list has the number " + std::to_string(number));
         in.done();
-        const auto entries = news == ListNews::Failed ? std::span<const ListedServer>{}
-                                                      : std::span<const ListedServer>(pools_[number]);
-        return guarded(who, hosted(who, in), [&](Planner& planner) { planner.list(news, entries); });
+        const auto entries = news == EndpointListUpdate::PollFailed
+                                 ? std::span<const EndpointUpdate>{}
+                                 : std::span<const EndpointUpdate>(pools_[number]);
+        return guarded(who, hosted(who, in),
+                       [&](Planner& planner) { planner.updateEndpoints(news, entries); });
     }
     case kObserved: {
-        ServerSums line;
-        line.proxiesZone = {in.whole<std::uint8_t>("Locality")};
-        line.server = in.server("Server");
-        line.tries = in.whole<std::uint32_t>("TriesN");
-        line.unanswered = in.whole<std::uint32_t>("Unanswered");
-        line.meanDelay = in.time("DelaySeenS");
-        line.span = in.time("ElapsedS");
+        EndpointLoadReport line;
+        line.proxyZone = {in.whole<std::uint8_t>("Locality")};
+        line.endpoint = in.server("Server");
+        line.attempts = in.whole<std::uint32_t>("TriesN");
+        line.failures = in.whole<std::uint32_t>("Unanswered");
+        line.meanLatency = in.time("DelaySeenS");
+        line.interval = in.time("ElapsedS");
         Hosted& at = hosted(who, in);
-        line.report = report(in, at);
+        line.load = report(in, at);
         in.done();
-        return guarded(who, at, [&](Planner& planner) { planner.sums(line); });
+        return guarded(who, at, [&](Planner& planner) { planner.reportLoad(line); });
     }
     case kHeld: // slices: read for their form, used by no decision
         in.shortNumber("Share");
@@ -270,8 +274,8 @@
     const auto size = in.whole<std::uint32_t>("Env");
     const auto bytes = in.bytes("Env", size);
     in.done();
-    const auto start =
-        terms::readStartTerms(terms::splitText({reinterpret_cast<const char*>(bytes.data()), bytes.size()}));
+    const auto start = config::readStartSettings(
+        config::splitText({reinterpret_cast<const char*>(bytes.data()), bytes.size()}));
     for (const auto& line : start.notices) notice_(line);
     auto fresh = std::make_unique<Hosted>(reply_, who);
     fresh->reportColumns = start.reportColumns;
@@ -292,11 +296,11 @@
     auto& entries = pools_[number];
     entries.clear();
     for (std::uint32_t k = 0; k < count; ++k) {
-        ListedServer entry;
+        EndpointUpdate entry;
         entry.id = in.server("NodesList.Server");
         const auto state = in.whole<std::uint8_t>("NodesList.State");
         if (state > 2) in.fail("NodesList.State", "no state of a server: " + std::to_string(state));
-        entry.state = static_cast<ListedState>(state);
+        entry.state = static_cast<EndpointState>(state);
         entry.startedAt = in.time("NodesList.ReadyAtS");
         entry.weight = in.shortNumber("NodesList.Share");
         if (entry.weight < 0) in.fail("NodesList.Share", "a weight below 0");
@@ -312,7 +316,7 @@
     const auto count = in.whole<std::uint8_t>("Report");
     for (std::uint8_t k = 0; k < count; ++k) {
         const double value = in.shortNumber("Report");
-        if (k < at.reportColumns.size()) terms::placeLoad(at.reportColumns[k], value, out);
+        if (k < at.reportColumns.size()) config::setLoadField(at.reportColumns[k], value, out);
     }
     return out;
 }
--- a/src/simwire/host.h
+++ b/src/simwire/host.h
@@ -22,7 +22,7 @@
     Host(const Host&) = delete;
     Host& operator=(const Host&) = delete;
 
-    /// Plays one batch; the reply stays valid until the next call. Throws Malformed.
+    /// Plays one batch; the reply stays valid until the next call. Throws InputError.
     std::span<const std::byte> play(const BatchHeader& header, std::span<const std::byte> body);
 
 private:
@@ -40,7 +40,7 @@
     ReplyWriter reply_;
     std::map<std::uint32_t, std::unique_ptr<Hosted>> hosted_;
     std::vector<std::uint32_t> touched_;
-    std::array<std::vector<ListedServer>, 16> pools_;
+    std::array<std::vector<EndpointUpdate>, 16> pools_;
     std::array<bool, 256> noticed_{};
 };
 
--- a/src/simwire/main.cpp
+++ b/src/simwire/main.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-using zincstack::Malformed;
+using zincstack::InputError;
 
 /// Fills `into` as far as the input goes and returns how much came.
 std::size_t readUpTo(std::span<std::byte> into) { return std::fread(into.data(), 1, into.size(), stdin); }
@@ -23,8 +23,8 @@
         out.resize(before + std::min(kPiece, size - before));
         const std::size_t got = readUpTo(std::span(out).subspan(before));
         if (before + got < out.size())
-            throw Malformed("batch.length at offset 4: says " + std::to_string(size) +
-                            " bytes, the input ends after " + std::to_string(before + got));
+            throw InputError("batch.length at offset 4: says " + std::to_string(size) +
+                             " bytes, the input ends after " + std::to_string(before + got));
     }
     return out;
 }
@@ -42,8 +42,8 @@
         std::array<std::byte, kBatchHeaderBytes> head{};
         while (const std::size_t got = readUpTo(head)) {
             if (got < head.size())
-                throw Malformed("batch.header at offset " + std::to_string(got) +
-                                ": the input ends inside it");
+                throw InputError("batch.header at offset " + std::to_string(got) +
+                                 ": the input ends inside it");
             const BatchHeader header = readBatchHeader(head);
             const auto body = readBody(header.bytes);
             const auto reply = host.play(header, body);
--- a/src/standin/agent_driver.cpp
+++ b/src/standin/agent_driver.cpp
@@ -6,7 +6,7 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/asio/write.hpp>
 
-#include "net/fatal.h"
+#include "net/rethrow.h"
 
 namespace zincstack::standin {
 
--- a/src/standin/list_agent.cpp
+++ b/src/standin/list_agent.cpp
@@ -31,9 +31,9 @@
     std::set<std::string> named;
     bool changed = revision_ == 0;
     const std::uint64_t next = revision_ + 1;
-    if (!members.is_array()) throw Malformed("the list's members are no list");
+    if (!members.is_array()) throw InputError("the list's members are no list");
     for (const auto& entry : members)
-        if (!json::textOf(entry, "id")) throw Malformed("an entry of the list has no id");
+        if (!json::textOf(entry, "id")) throw InputError("an entry of the list has no id");
     for (const auto& entry : members) {
         const std::string& id = *json::textOf(entry, "id");
         named.insert(id);
--- a/src/standin/list_agent.h
+++ b/src/standin/list_agent.h
@@ -16,7 +16,7 @@
 class ListAgent {
 public:
     /// The list as it is from now on, as entries of the protocol. What differs from before becomes changes of the
-    /// next version; who is missing is gone. Throws Malformed where an entry has no id.
+    /// next version; who is missing is gone. Throws InputError where an entry has no id.
     void set(const json::Value& members);
     std::uint64_t revision() const { return revision_; }
 
--- a/tests/channel_credit_test.cpp
+++ b/tests/channel_credit_test.cpp
@@ -5,97 +5,99 @@
 #include <deque>
 #include <map>
 
-#include "orders/names.h"
-#include "orders/order_book.h"
 #include "planner/channel_credit.h"
-#include "platform/outbox.h"
-#include "pubsub/pacing.h"
+#include "platform/update_queue.h"
+#include "pubsub/flow_control.h"
+#include "routing/name_registry.h"
+#include "routing/routing_state.h"
 
 namespace zincstack::tests {
 namespace {
 
 using namespace std::chrono_literals;
-using Verdict = ChannelCredit::Verdict;
+using Verdict = ChannelCredit::Admission;
 
-constexpr ChannelTerms kTerms{1000, 6, 1000, 0, 10s, 100ms, 200ms};
+constexpr ControlChannelLimits kTerms{1000, 6, 1000, 0, 10s, 100ms, 200ms};
 constexpr ProxyId kOne{1}, kTwo{2};
 
 Verdict urgent(const ChannelCredit& credit, ProxyId proxy, double lines, Micros now = 1s) {
-    return credit.admits(proxy, lines, Urgency::Deadline, 0, now);
+    return credit.check(proxy, lines, Urgency::Deadline, 0, now);
 }
 
 TEST(ChannelCredit, NoTimeGivesCreditBackOnlyAnAnswerDoes) {
     ChannelCredit credit(kTerms);
-    for (const ProxyId proxy : {kOne, kTwo}) credit.streamOpened(proxy);
-    credit.written(kOne, {1}, 900, 1s);
+    for (const ProxyId proxy : {kOne, kTwo}) credit.sessionOpened(proxy);
+    credit.messageWritten(kOne, {1}, 900, 1s);
     EXPECT_EQ(urgent(credit, kTwo, 100, 1s), Verdict::QueueFull);
-    credit.sweep(1h);
+    credit.detectSilentSessions(1h);
     EXPECT_EQ(urgent(credit, kTwo, 100, 1h), Verdict::QueueFull);
-    EXPECT_TRUE(credit.answered(kOne, {1}));
-    EXPECT_FALSE(credit.answered(kOne, {1}));
-    EXPECT_EQ(credit.waiting(), 0);
-    EXPECT_EQ(urgent(credit, kTwo, 100), Verdict::Go);
+    EXPECT_TRUE(credit.acknowledged(kOne, {1}));
+    EXPECT_FALSE(credit.acknowledged(kOne, {1}));
+    EXPECT_EQ(credit.unacknowledgedLines(), 0);
+    EXPECT_EQ(urgent(credit, kTwo, 100), Verdict::Granted);
 }
 
 TEST(ChannelCredit, WhatCanWaitLeavesHalfOfTheQueueToTheRest) {
     ChannelCredit credit(kTerms);
-    for (const ProxyId proxy : {kOne, kTwo}) credit.streamOpened(proxy);
-    EXPECT_EQ(credit.admits(kOne, 501, Urgency::Ordinary, 0, 1s), Verdict::Go); // alone it must go some time
-    credit.written(kTwo, {1}, 100, 1s);
-    EXPECT_EQ(credit.admits(kOne, 401, Urgency::Ordinary, 0, 1s), Verdict::QueueFull);
-    EXPECT_EQ(credit.admits(kOne, 400, Urgency::Ordinary, 0, 1s), Verdict::Go);
-    EXPECT_EQ(credit.admits(kOne, 400, Urgency::Ordinary, 1, 1s), Verdict::QueueFull); // of other fronts
-    EXPECT_EQ(urgent(credit, kOne, 850), Verdict::Go);
+    for (const ProxyId proxy : {kOne, kTwo}) credit.sessionOpened(proxy);
+    EXPECT_EQ(credit.check(kOne, 501, Urgency::Ordinary, 0, 1s),
+              Verdict::Granted); // alone it must go some time
+    credit.messageWritten(kTwo, {1}, 100, 1s);
+    EXPECT_EQ(credit.check(kOne, 401, Urgency::Ordinary, 0, 1s), Verdict::QueueFull);
+    EXPECT_EQ(credit.check(kOne, 400, Urgency::Ordinary, 0, 1s), Verdict::Granted);
+    EXPECT_EQ(credit.check(kOne, 400, Urgency::Ordinary, 1, 1s), Verdict::QueueFull); // of other fronts
+    EXPECT_EQ(urgent(credit, kOne, 850), Verdict::Granted);
     EXPECT_EQ(urgent(credit, kOne, 851), Verdict::QueueFull);
 }
 
 TEST(ChannelCredit, WhatAStreamThatEndedWasWrittenCountsUntilALaterMessageIsAnswered) {
     ChannelCredit credit(kTerms);
-    for (const ProxyId proxy : {kOne, kTwo}) credit.streamOpened(proxy);
-    credit.written(kTwo, {1}, 10, 1s); // before the end: its answer proves nothing of what came after
-    credit.written(kOne, {1}, 900, 1s);
-    credit.streamEnded(kOne);
-    EXPECT_TRUE(credit.answered(kTwo, {1}));
-    EXPECT_EQ(credit.waiting(), 900);
-    EXPECT_EQ(urgent(credit, kTwo, 100), Verdict::Go); // into the reserve: nobody else is left to prove it
-    credit.written(kTwo, {2}, 100, 2s);
+    for (const ProxyId proxy : {kOne, kTwo}) credit.sessionOpened(proxy);
+    credit.messageWritten(kTwo, {1}, 10, 1s); // before the end: its answer proves nothing of what came after
+    credit.messageWritten(kOne, {1}, 900, 1s);
+    credit.sessionEnded(kOne);
+    EXPECT_TRUE(credit.acknowledged(kTwo, {1}));
+    EXPECT_EQ(credit.unacknowledgedLines(), 900);
+    EXPECT_EQ(urgent(credit, kTwo, 100),
+              Verdict::Granted); // into the reserve: nobody else is left to prove it
+    credit.messageWritten(kTwo, {2}, 100, 2s);
     EXPECT_EQ(urgent(credit, kTwo, 1), Verdict::QueueFull);
-    EXPECT_TRUE(credit.answered(kTwo, {2}));
-    EXPECT_EQ(credit.waiting(), 0);
+    EXPECT_TRUE(credit.acknowledged(kTwo, {2}));
+    EXPECT_EQ(credit.unacknowledgedLines(), 0);
 }
 
 TEST(ChannelCredit, AProxyThatStandsStillGetsLittleAndASilentOneHoldsNothingForGood) {
     ChannelCredit credit(kTerms);
-    for (const ProxyId proxy : {kOne, kTwo}) credit.streamOpened(proxy);
-    credit.written(kOne, {1}, 300, 1s);
+    for (const ProxyId proxy : {kOne, kTwo}) credit.sessionOpened(proxy);
+    credit.messageWritten(kOne, {1}, 300, 1s);
     for (std::uint16_t k = 1; k <= 20; ++k) {
         const Micros now = k * 1s;
-        credit.written(kTwo, {k}, 10, now);
-        EXPECT_TRUE(credit.answered(kTwo, {k}));
-        credit.sweep(now);
+        credit.messageWritten(kTwo, {k}, 10, now);
+        EXPECT_TRUE(credit.acknowledged(kTwo, {k}));
+        credit.detectSilentSessions(now);
         if (k == 4) {
-            EXPECT_EQ(credit.admits(kOne, 10, Urgency::Ordinary, 0, now), Verdict::ProxyWaits);
-            EXPECT_EQ(credit.admits(kOne, 10, Urgency::Deadline, 0, now), Verdict::Go);
-            EXPECT_EQ(credit.waiting(), 300);
+            EXPECT_EQ(credit.check(kOne, 10, Urgency::Ordinary, 0, now), Verdict::ProxyBlocked);
+            EXPECT_EQ(credit.check(kOne, 10, Urgency::Deadline, 0, now), Verdict::Granted);
+            EXPECT_EQ(credit.unacknowledgedLines(), 300);
         }
     }
-    EXPECT_EQ(credit.waiting(), 0);
-    EXPECT_TRUE(credit.answered(kOne, {1})); // late, but an answer
-    EXPECT_EQ(credit.waiting(), 0);
+    EXPECT_EQ(credit.unacknowledgedLines(), 0);
+    EXPECT_TRUE(credit.acknowledged(kOne, {1})); // late, but an answer
+    EXPECT_EQ(credit.unacknowledgedLines(), 0);
 }
 
 TEST(ChannelCredit, MessagesToAProxyAreCountedOverTheSpan) {
-    ChannelTerms terms = kTerms;
-    terms.messagesMost = 2;
+    ControlChannelLimits terms = kTerms;
+    terms.maxMessagesPerProxy = 2;
     ChannelCredit credit(terms);
-    for (const ProxyId proxy : {kOne, kTwo}) credit.streamOpened(proxy);
+    for (const ProxyId proxy : {kOne, kTwo}) credit.sessionOpened(proxy);
     for (std::uint16_t k = 1; k <= 2; ++k) {
-        credit.written(kOne, {k}, 1, k * 1s);
-        EXPECT_TRUE(credit.answered(kOne, {k}));
+        credit.messageWritten(kOne, {k}, 1, k * 1s);
+        EXPECT_TRUE(credit.acknowledged(kOne, {k}));
     }
-    EXPECT_EQ(urgent(credit, kOne, 1, 11s), Verdict::ProxyWaits);
-    EXPECT_EQ(urgent(credit, kTwo, 1, 11s), Verdict::Go);
-    EXPECT_EQ(urgent(credit, kOne, 1, 11s + 1us), Verdict::Go);
+    EXPECT_EQ(urgent(credit, kOne, 1, 11s), Verdict::ProxyBlocked);
+    EXPECT_EQ(urgent(credit, kTwo, 1, 11s), Verdict::Granted);
+    EXPECT_EQ(urgent(credit, kOne, 1, 11s + 1us), Verdict::Granted);
 }
 
 /// Whatever is written, answered, ended and begun anew: what may wait in a channel that is in order and takes no time
@@ -104,7 +106,7 @@
     ChannelCredit credit(kTerms);
     struct Sent {
         ProxyId proxy;
-        MarkId mark;
+        BarrierId mark;
         int stream;
         double lines;
     };
@@ -120,10 +122,10 @@
         now += *rc::gen::inRange(1, 3000) * 1ms;
         const int what = *rc::gen::inRange(0, 8);
         if (what == 0) {
-            credit.streamOpened(proxy);
+            credit.sessionOpened(proxy);
             streams[proxy] = ++opened;
         } else if (what == 1) {
-            credit.streamEnded(proxy);
+            credit.sessionEnded(proxy);
             streams.erase(proxy);
         } else if (what < 5 && !channel.empty()) { // the first leaves; who is still there answers
             const Sent first = channel.front();
@@ -131,22 +133,22 @@
             held -= first.lines;
             const auto stream = streams.find(first.proxy);
             if (stream != streams.end() && stream->second == first.stream && *rc::gen::inRange(0, 4) > 0)
-                RC_ASSERT(credit.answered(first.proxy, first.mark));
+                RC_ASSERT(credit.acknowledged(first.proxy, first.mark));
         } else if (streams.contains(proxy)) {
             const double lines = *rc::gen::inRange(7, 300);
             const auto urgency = *rc::gen::element(Urgency::Deadline, Urgency::Ordinary);
-            if (credit.admits(proxy, lines, urgency, 0, now) != Verdict::Go) continue;
-            credit.written(proxy, {++mark}, lines, now);
+            if (credit.check(proxy, lines, urgency, 0, now) != Verdict::Granted) continue;
+            credit.messageWritten(proxy, {++mark}, lines, now);
             channel.push_back({proxy, {mark}, streams[proxy], lines});
             held += lines;
         }
-        RC_ASSERT(held <= credit.waiting());
-        RC_ASSERT(held <= kTerms.queueMost);
+        RC_ASSERT(held <= credit.unacknowledgedLines());
+        RC_ASSERT(held <= kTerms.maxQueuedLines);
     }
 }
 
 /// A stream that keeps what it is written.
-struct Reader : net::PushTarget {
+struct Reader : net::PushStream {
     std::string got;
     bool push(std::string_view bytes) override {
         got += bytes;
@@ -160,45 +162,45 @@
 /// Two proxies with whole tables on a channel for fifty lines, and how a batch of orders ends.
 struct Writer : testing::Test {
     net::Counters counters;
-    net::Names names{{"lookup"}, {"a"}};
-    orders::OrderBook book{
-        names, counters, [](ServerId) {}, [](Micros) {}, {1000, 6, 50, 0, 10s, 100ms, 200ms}};
-    net::Outbox outbox{book, names, counters};
+    net::NameRegistry names{{"lookup"}, {"a"}};
+    routing::RoutingState book{
+        names, counters, [](EndpointId) {}, [](Micros) {}, {1000, 6, 50, 0, 10s, 100ms, 200ms}};
+    net::UpdateQueue outbox{book, names, counters};
     Reader first, second;
-    std::vector<ServerId> servers;
+    std::vector<EndpointId> servers;
     static constexpr TableId kTable{0};
     std::uint16_t marks = 0;
     Micros now{1s};
 
     void SetUp() override {
-        for (int k = 0; k < 12; ++k) servers.push_back(names.listed("s-" + std::to_string(k)));
-        outbox.joined(kOne, {0}, first);
-        outbox.joined(kTwo, {0}, second);
-        for (int k = 0; k < 3; ++k) book.setLine(kTable, servers[static_cast<std::size_t>(k)], 1);
-        book.bind(kOne, 0, kTable);
+        for (int k = 0; k < 12; ++k) servers.push_back(names.registerEndpoint("s-" + std::to_string(k)));
+        outbox.sessionOpened(kOne, {0}, first);
+        outbox.sessionOpened(kTwo, {0}, second);
+        for (int k = 0; k < 3; ++k) book.setWeight(kTable, servers[static_cast<std::size_t>(k)], 1);
+        book.assignTable(kOne, 0, kTable);
         end();
         answer(kOne);
-        book.bind(kTwo, 0, kTable);
+        book.assignTable(kTwo, 0, kTable);
         end();
         answer(kTwo);
         first.take(), second.take();
     }
     void end() {
-        book.mark({++marks}, false);
+        book.requestBarrier({++marks}, false);
         book.flush(now += 1ms);
     }
-    void answer(ProxyId proxy) { EXPECT_TRUE(outbox.answered(proxy, {marks})); }
+    void answer(ProxyId proxy) { EXPECT_TRUE(outbox.barrierAcknowledged(proxy, {marks})); }
 };
 
 TEST_F(Writer, WhatDoesNotFitWaitsMergesAndFollowsTheWithdrawals) {
-    for (std::size_t k = 3; k < 12; ++k) book.setLine(kTable, servers[k], 1);
+    for (std::size_t k = 3; k < 12; ++k) book.setWeight(kTable, servers[k], 1);
     end(); // 9 rows, a head and a mark: 16 lines, of 25 that may be filled by what can wait
     EXPECT_NE(first.take().find("s-11:1"), std::string::npos);
     EXPECT_EQ(second.take(), "");
     EXPECT_EQ(book.pendingLines(), 32);
 
-    for (std::size_t k = 4; k < 12; ++k) book.setLine(kTable, servers[k], 2);
-    book.setLine(kTable, servers[0], 0);
+    for (std::size_t k = 4; k < 12; ++k) book.setWeight(kTable, servers[k], 2);
+    book.setWeight(kTable, servers[0], 0);
     end();
     const std::string stamp = " stamp=" + std::to_string(marks) + "\r\n";
     // The one that waits longer gets all as it stands now; for the other only the removal has room.
@@ -209,46 +211,49 @@
 
 /// The module paces by what is pending: rows kept for a proxy that stood still held up everybody's.
 TEST_F(Writer, WhatWaitsForAProxyThatStandsStillIsNoLoadOnTheChannel) {
-    book.setLine(kTable, servers[3], 1);
+    book.setWeight(kTable, servers[3], 1);
     end();
     EXPECT_NE(first.take(), ""); // it never answers
     answer(kTwo);
     for (int k = 0; k < 3; ++k) { // others go on
         now += 1s;
-        outbox.joined(kTwo, {0}, second);
-        book.bind(kTwo, 0, kTable);
+        outbox.sessionOpened(kTwo, {0}, second);
+        book.assignTable(kTwo, 0, kTable);
         end();
         answer(kTwo);
     }
     EXPECT_EQ(book.pendingLines(), 8); // one row, head and mark
-    for (std::size_t k = 4; k < 12; ++k) book.setLine(kTable, servers[k], 1);
+    for (std::size_t k = 4; k < 12; ++k) book.setWeight(kTable, servers[k], 1);
     end();
     EXPECT_EQ(first.take(), "");
     EXPECT_EQ(book.pendingLines(), 8 + 15); // what the other was written, not what waits for the first
 }
 
 TEST_F(Writer, AServerIsNotForgottenWhileItsRemovalWaits) {
-    for (std::size_t k = 3; k < 12; ++k) book.setLine(kTable, servers[k], 1);
+    for (std::size_t k = 3; k < 12; ++k) book.setWeight(kTable, servers[k], 1);
     end();
-    for (std::size_t k = 3; k < 12; ++k) book.setLine(kTable, servers[k], 2);
+    for (std::size_t k = 3; k < 12; ++k) book.setWeight(kTable, servers[k], 2);
     end();
     first.take(), second.take();
-    const ServerId gone = servers[0];
-    book.setLine(kTable, gone, 0);
-    EXPECT_FALSE(book.forget(gone));
+    const EndpointId gone = servers[0];
+    book.setWeight(kTable, gone, 0);
+    EXPECT_FALSE(book.forgetEndpoint(gone));
     end();
     EXPECT_NE(first.take().find("s-0:0"), std::string::npos);
 }
 
 TEST(SharedQueue, AStalledSubscribersLinesCountAndWithdrawalsToItKeepTheLimit) {
-    pubsub::Pacing pacing({.linesEach = 100, .bytesEach = 1000, .queueMost = 100});
+    pubsub::FlowControl pacing(
+        {.maxLinesPerSubscriber = 100, .maxBytesPerSubscriber = 1000, .maxQueuedLines = 100});
     pubsub::Window stalled, other;
     pacing.sent(stalled, 60, 10);
     pacing.stuck(stalled);
     EXPECT_EQ(pacing.lines(), 60U);
-    EXPECT_EQ(pacing.may(pubsub::Urgency::Withdrawal, 40, 1, stalled, 0), pubsub::Pacing::Verdict::AllFull);
-    EXPECT_EQ(pacing.may(pubsub::Urgency::Change, 1, 1, stalled, 0), pubsub::Pacing::Verdict::OwnFull);
-    EXPECT_EQ(pacing.may(pubsub::Urgency::Withdrawal, 36, 1, other, 0), pubsub::Pacing::Verdict::AllFull);
+    EXPECT_EQ(pacing.may(pubsub::Urgency::Withdrawal, 40, 1, stalled, 0),
+              pubsub::FlowControl::Verdict::AllFull);
+    EXPECT_EQ(pacing.may(pubsub::Urgency::Change, 1, 1, stalled, 0), pubsub::FlowControl::Verdict::OwnFull);
+    EXPECT_EQ(pacing.may(pubsub::Urgency::Withdrawal, 36, 1, other, 0),
+              pubsub::FlowControl::Verdict::AllFull);
     pacing.answered(stalled, 60, 10);
     EXPECT_FALSE(stalled.stuck);
     EXPECT_EQ(pacing.lines(), 0U);
--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -10,12 +10,12 @@
 #include <random>
 #include <set>
 
-#include "client/link.h"
-#include "engine/engine.h"
-#include "platform/intake.h"
+#include "client/subscription_client.h"
+#include "engine/batch_runner.h"
+#include "platform/input_translator.h"
 #include "platform/peer_session.h"
-#include "pubsub/channel.h"
-#include "pubsub/door.h"
+#include "pubsub/pubsub_service.h"
+#include "pubsub/subscriber_session.h"
 
 namespace zincstack {
 namespace {
@@ -28,34 +28,35 @@
     net::BufferPool pool{4096};
     asio::io_context io{1};
     net::Counters counters;
-    net::Names names{{"lookup", "order"}, {"a", "b"}};
-    net::Engine* wakes = nullptr;
-    orders::OrderBook book{names, counters, [](ServerId) {}, [this](Micros span) { wakes->wakeAfter(span); }};
-    net::Outbox outbox{book, names, counters};
-    ChannelTerms channelTerms{200'000, 6, 14'000, 0, 0s, 0s, 0s};
-    GuardTerms guards{3s, 2s, 0.2, 16s, 4, 3s};
-    std::vector<ProductTerms> products{{1s, 3s, 3, .1, Repeatable::InquiryLike, false, false},
-                                       {1s, 3s, 2, .1, Repeatable::Referenced, false, true}};
-    std::unique_ptr<Planner> planner =
-        makePlanner(7, FleetTerms{.zones = 2, .planners = 1, .weightsListed = true, .sumsPeriod = 1s},
-                    ForwarderTerms{.count = kProxies, .standingLines = 3, .throttle = Throttle::Rate},
-                    channelTerms, guards, products, book);
-    net::Engine engine{io, *planner, book, counters, 2ms};
-    net::Intake intake{engine, book, outbox, names, counters, kProxies};
-    pubsub::Hub* hub = nullptr;
-    pubsub::Channel channel{io, counters, pool,
-                            [this] {
-                                auto out = std::make_unique<pubsub::Hub>(
-                                    book, names, counters, "n1", pubsub::Epoch{5}, kProxies,
-                                    pubsub::PaceTerms{512, 16 * 1024, channelTerms.queueMost},
-                                    pubsub::LeaseTerms{.beat = 1s, .lease = 60s, .stall = 60s}, 100,
-                                    [this]() -> Planner& { return engine.input(); },
-                                    [this] { return engine.now(); });
-                                hub = out.get();
-                                return out;
-                            },
-                            1s};
-    std::vector<std::shared_ptr<client::Link>> links;
+    net::NameRegistry names{{"lookup", "order"}, {"a", "b"}};
+    net::BatchRunner* wakes = nullptr;
+    routing::RoutingState book{names, counters, [](EndpointId) {},
+                               [this](Micros span) { wakes->scheduleWakeUp(span); }};
+    net::UpdateQueue outbox{book, names, counters};
+    ControlChannelLimits channelTerms{200'000, 6, 14'000, 0, 0s, 0s, 0s};
+    SafetyLimits guards{3s, 2s, 0.2, 16s, 4, 3s};
+    std::vector<RequestClassConfig> products{{1s, 3s, 3, .1, Idempotency::Idempotent, false, false},
+                                             {1s, 3s, 2, .1, Idempotency::IdempotencyKeyed, false, true}};
+    std::unique_ptr<Planner> planner = makePlanner(
+        7, FleetConfig{.zoneCount = 2, .plannerCount = 1, .hasEndpointWeights = true, .reportInterval = 1s},
+        ProxyFleetConfig{.proxyCount = kProxies, .bootstrapTableSize = 3, .throttleMode = ThrottleMode::Rate},
+        channelTerms, guards, products, book);
+    net::BatchRunner engine{io, *planner, book, counters, 2ms};
+    net::InputTranslator intake{engine, book, outbox, names, counters, kProxies};
+    pubsub::SubscriptionServer* hub = nullptr;
+    pubsub::PubsubService channel{
+        io, counters, pool,
+        [this] {
+            auto out = std::make_unique<pubsub::SubscriptionServer>(
+                book, names, counters, "n1", pubsub::Epoch{5}, kProxies,
+                pubsub::FlowControlLimits{512, 16 * 1024, channelTerms.maxQueuedLines},
+                pubsub::LeaseConfig{.heartbeatInterval = 1s, .leaseDuration = 60s, .stallTimeout = 60s}, 100,
+                [this]() -> Planner& { return engine.openBatch(); }, [this] { return engine.now(); });
+            hub = out.get();
+            return out;
+        },
+        1s};
+    std::vector<std::shared_ptr<client::SubscriptionClient>> links;
     std::set<std::size_t> stalled;
     std::mt19937 chance{20261201};
     std::string broken;
@@ -64,7 +65,7 @@
     void SetUp() override {
         wakes = &engine;
         alarm(100); // nothing here takes so long
-        channel.be(pubsub::Channel::Place{"127.0.0.1:0", 400});
+        channel.configure(pubsub::PubsubService::Endpoint{"127.0.0.1:0", 400});
     }
     void TearDown() override {
         for (auto& link : links) link->stop();
@@ -72,9 +73,9 @@
         while (io.poll()) {}
         alarm(0);
         EXPECT_EQ(broken, "");
-        EXPECT_EQ(counters.of(net::Count::BrokenInvariant), 0U);
+        EXPECT_EQ(counters.of(net::Counter::BrokenInvariant), 0U);
     }
-    void list(ListNews news, int from, int to, std::string_view phase) {
+    void list(EndpointListUpdate news, int from, int to, std::string_view phase) {
         std::string all = "[";
         for (int k = from; k < to; ++k)
             all += std::string(k > from ? "," : "") + R"({"id":"s-)" + std::to_string(k) +
@@ -84,10 +85,10 @@
     }
     void join(std::size_t from, std::size_t to) {
         for (std::size_t k = from; k < to; ++k) {
-            links.push_back(std::make_shared<client::Link>(
+            links.push_back(std::make_shared<client::SubscriptionClient>(
                 io, std::vector{*channel.address()},
                 client::Identity{ProxyId{static_cast<std::uint16_t>(k)}, k % 2 ? "a" : "b", 5},
-                client::RedialTerms{.first = 5ms, .most = 50ms}, k, 10s));
+                client::ReconnectConfig{.initialDelay = 5ms, .maxDelay = 50ms}, k, 10s));
             links.back()->start();
         }
     }
@@ -95,8 +96,8 @@
         std::map<std::string, double> out;
         for (const auto& [table, orders] : book.tables())
             if (orders.zone == ZoneId{static_cast<std::uint8_t>(zone)})
-                for (const auto& [server, weight] : orders.lines)
-                    if (!book.withdrawnServers().contains(server)) out[names.of(server)] = weight;
+                for (const auto& [server, weight] : orders.weights)
+                    if (!book.excludedEndpoints().contains(server)) out[names.nameOf(server)] = weight;
         return out;
     }
     bool same(std::size_t k) const {
@@ -104,7 +105,7 @@
         const auto* table = replica.tableOf("lookup");
         if (!table || !links[k]->subscription().usable()) return false;
         std::map<std::string, double> picks;
-        for (const auto& [server, weight] : replica.picks(*table, client::Link::now()))
+        for (const auto& [server, weight] : replica.picks(*table, client::SubscriptionClient::now()))
             picks[server] = weight;
         const auto wanted = ordered(k % 2 ? 0 : 1);
         return !wanted.empty() && picks == wanted;
@@ -116,15 +117,15 @@
     }
     /// Rules 1, 3 and 5, after every piece of work.
     void check() {
-        const auto lines = static_cast<double>(hub->pacing().lines() + book.linesOnTheirWay());
-        if (lines > 0.95 * channelTerms.queueMost) broken = "short queue: too many lines wait";
+        const auto lines = static_cast<double>(hub->pacing().lines() + book.unacknowledgedLines());
+        if (lines > 0.95 * channelTerms.maxQueuedLines) broken = "short queue: too many lines wait";
     }
     void checkTables() {
         for (const auto& link : links) {
             const auto& replica = link->subscription().replica();
             const auto known = replica.at(pubsub::kWithdrawnTopic);
             for (const auto& [topic, table] : replica.tables()) {
-                const auto picks = replica.picks(table, client::Link::now());
+                const auto picks = replica.picks(table, client::SubscriptionClient::now());
                 if (picks.empty()) broken = "a joined proxy has no server";
                 for (const auto& [server, weight] : picks)
                     if (const auto out = outSince.find(server);
@@ -146,10 +147,11 @@
     }
     /// Drains servers and notes since when each is known to be withdrawn.
     void drain(int from, int to) {
-        list(ListNews::Changes, from, to, "Terminating");
+        list(EndpointListUpdate::Delta, from, to, "Terminating");
         until([&] {
             for (int k = from; k < to; ++k)
-                if (!book.withdrawnServers().contains(*names.server("s-" + std::to_string(k)))) return false;
+                if (!book.excludedEndpoints().contains(*names.endpoint("s-" + std::to_string(k))))
+                    return false;
             return true;
         });
         const auto head = hub->log(pubsub::kWithdrawnTopic)->head();
@@ -158,53 +160,53 @@
 };
 
 TEST_F(Site, HundredsOfSubscribersEndWithTheSameTableThroughCutsStallsAndDrains) {
-    list(ListNews::Whole, 0, 60, "Ready");
+    list(EndpointListUpdate::Snapshot, 0, 60, "Ready");
     join(0, kProxies);
     until([&] { return allSame(); });
-    EXPECT_GE(counters.of(net::Count::Subscriptions), kProxies); // a slow machine may lose a stream
+    EXPECT_GE(counters.of(net::Counter::Subscriptions), kProxies); // a slow machine may lose a stream
 
     for (int turn = 0; turn < 4; ++turn) {
         for (std::size_t k = 0; k < kProxies; ++k) { // in one and the same moment
-            if (chance() % 10 == 0) links[k]->stall(true), stalled.insert(k);
-            if (chance() % 3 == 0) links[k]->cut();
+            if (chance() % 10 == 0) links[k]->pauseReading(true), stalled.insert(k);
+            if (chance() % 3 == 0) links[k]->dropConnection();
         }
         drain(turn * 5, turn * 5 + 3);
-        list(ListNews::Changes, 60 + turn * 4, 64 + turn * 4, "Ready");
+        list(EndpointListUpdate::Delta, 60 + turn * 4, 64 + turn * 4, "Ready");
         until([&] { return allSame(); });
-        for (const std::size_t k : std::exchange(stalled, {})) links[k]->stall(false);
+        for (const std::size_t k : std::exchange(stalled, {})) links[k]->pauseReading(false);
         until([&] { return allSame(); });
     }
-    EXPECT_GT(counters.of(net::Count::Takeovers) + counters.of(net::Count::StreamsEnded), 100U);
-    EXPECT_LE(hub->pacing().mostLines(), static_cast<std::size_t>(0.95 * channelTerms.queueMost));
+    EXPECT_GT(counters.of(net::Counter::Takeovers) + counters.of(net::Counter::StreamsEnded), 100U);
+    EXPECT_LE(hub->pacing().mostLines(), static_cast<std::size_t>(0.95 * channelTerms.maxQueuedLines));
 }
 
 TEST_F(Site, SwitchedOffAndOnAgainAllComeBackAndOnlyNeedWhatChanged) {
-    list(ListNews::Whole, 0, 20, "Ready");
+    list(EndpointListUpdate::Snapshot, 0, 20, "Ready");
     join(0, 60);
     until([&] { return allSame(); });
     const std::string place = "127.0.0.1:" + std::to_string(channel.address()->port());
-    channel.be({});
+    channel.configure({});
     EXPECT_FALSE(channel.address());
     until(
         [&] { return std::ranges::none_of(links, [](auto& one) { return one->subscription().usable(); }); });
     for (const auto& link : links) EXPECT_NE(link->subscription().replica().tableOf("lookup"), nullptr);
-    const auto snapshots = counters.of(net::Count::Snapshots);
-    channel.be(pubsub::Channel::Place{place, 400});
-    list(ListNews::Changes, 20, 22, "Ready");
+    const auto snapshots = counters.of(net::Counter::Snapshots);
+    channel.configure(pubsub::PubsubService::Endpoint{place, 400});
+    list(EndpointListUpdate::Delta, 20, 22, "Ready");
     until([&] { return allSame(); });
-    EXPECT_EQ(counters.of(net::Count::Snapshots), snapshots);
+    EXPECT_EQ(counters.of(net::Counter::Snapshots), snapshots);
 }
 
 /// A proxy that is up on both fronts is served by the newest stream alone.
 TEST_F(Site, TheSameProxyOnBothFrontsIsServedByTheNewestStream) {
-    struct Reader : net::PushTarget {
+    struct Reader : net::PushStream {
         std::string got;
         bool over = false;
         bool push(std::string_view bytes) override { return got += bytes, true; }
         bool idle() const override { return true; }
         void replaced() override { over = true; }
     } reader;
-    list(ListNews::Whole, 0, 4, "Ready");
+    list(EndpointListUpdate::Snapshot, 0, 4, "Ready");
     net::PeerSession session(intake, counters, pool, reader, [] {});
     session.feed("hello proxy=1 zone=a weight=5 fresh=1\r\n");
     until([&] { return reader.got.find("replace=1") != std::string::npos; }, 1);
@@ -213,11 +215,11 @@
     EXPECT_TRUE(reader.over);
     session.ended(); // late, and no leaving
     const auto told = reader.got.size();
-    list(ListNews::Changes, 4, 5, "Ready");
+    list(EndpointListUpdate::Delta, 4, 5, "Ready");
     until(
         [&] {
             const auto* table = links[0]->subscription().replica().tableOf("lookup");
-            return table && table->lines.size() == 5;
+            return table && table->weights.size() == 5;
         },
         1);
     EXPECT_EQ(reader.got.size(), told);
@@ -225,8 +227,8 @@
     Reader second;
     net::PeerSession again(intake, counters, pool, second, [] {});
     again.feed("hello proxy=1 zone=a weight=5 fresh=0\r\n");
-    until([&] { return links[0]->subscription().parting().has_value(); }, 1); // it would dial again
-    EXPECT_NE(links[0]->subscription().parting()->reason.find("newer stream"), std::string::npos);
+    until([&] { return links[0]->subscription().disconnectNotice().has_value(); }, 1); // it would dial again
+    EXPECT_NE(links[0]->subscription().disconnectNotice()->reason.find("newer stream"), std::string::npos);
     links[0]->stop();
     until([&] { return second.got.find("replace=1") != std::string::npos; }, 1);
     again.ended();
@@ -236,18 +238,18 @@
 TEST_F(Site, AVisitorThatHasEndedIsNoStrangerAndTakesNothing) {
     const auto block = pool.take();
     net::Connection connection(asio::ip::tcp::socket(io), counters, pool, block, 1024);
-    const auto visitor = pubsub::makeVisitor(*hub, connection);
-    EXPECT_TRUE(visitor->stranger());
-    visitor->ended();
-    EXPECT_FALSE(visitor->stranger());
-    EXPECT_FALSE(visitor->mayStay());
+    const auto visitor = pubsub::makeSubscriberSession(*hub, connection);
+    EXPECT_TRUE(visitor->isUnidentified());
+    visitor->connectionClosed();
+    EXPECT_FALSE(visitor->isUnidentified());
+    EXPECT_FALSE(visitor->joinDeadlineExpired());
     EXPECT_FALSE(visitor->feed("x"));
-    visitor->ended();
+    visitor->connectionClosed();
     EXPECT_EQ(hub->subscribers(), 0U);
 }
 
 TEST_F(Site, StrangersOnTheChannelAreClosedWithAReasonAndDisturbNobody) {
-    list(ListNews::Whole, 0, 10, "Ready");
+    list(EndpointListUpdate::Snapshot, 0, 10, "Ready");
     join(0, 20);
     until([&] { return allSame(); });
     std::vector<asio::ip::tcp::socket> strangers;
@@ -256,9 +258,9 @@
         strangers.emplace_back(io).connect(*channel.address());
         asio::write(strangers.back(), asio::buffer(bytes));
     }
-    const auto before = counters.of(net::Count::Closed);
-    list(ListNews::Changes, 10, 12, "Ready");
-    until([&] { return allSame() && counters.of(net::Count::Closed) >= before + 4; });
+    const auto before = counters.of(net::Counter::Closed);
+    list(EndpointListUpdate::Delta, 10, 12, "Ready");
+    until([&] { return allSame() && counters.of(net::Counter::Closed) >= before + 4; });
     for (std::size_t k = 0; k < 4; ++k) {
         std::string got;
         boost::system::error_code error;
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -7,8 +7,8 @@
 
 #include "command/check.h"
 #include "command/command_line.h"
+#include "config/operator_config.h"
 #include "log/log.h"
-#include "terms/operator_terms.h"
 #include "json/json.h"
 
 namespace zincstack {
@@ -61,7 +61,8 @@
 
 std::string placesOf(std::string_view text) {
     std::string out;
-    for (const auto& one : terms::faultsOfOperatorText(text)) out += (out.empty() ? "" : " ") + one.pointer;
+    for (const auto& one : config::findOperatorConfigErrors(text))
+        out += (out.empty() ? "" : " ") + one.pointer;
     return out;
 }
 
@@ -73,27 +74,27 @@
               "/channel/listen /channel/lease_s");
     EXPECT_EQ(placesOf(R"({"channel":{"listen":"127.0.0.1:1","beat_s":4}})"), "/channel/lease_s");
     EXPECT_EQ(placesOf(R"({"later":1})"), "");
-    ASSERT_EQ(terms::faultsOfOperatorText(R"({"later":1})").size(), 1U);
-    EXPECT_NE(terms::faultsOfOperatorText("{").at(0).what.find("offset 2"), std::string::npos);
+    ASSERT_EQ(config::findOperatorConfigErrors(R"({"later":1})").size(), 1U);
+    EXPECT_NE(config::findOperatorConfigErrors("{").at(0).what.find("offset 2"), std::string::npos);
     EXPECT_EQ(placesOf("{}"), "");
-    EXPECT_TRUE(terms::faultsOfOperatorText("{}").empty());
+    EXPECT_TRUE(config::findOperatorConfigErrors("{}").empty());
     try {
-        terms::readOperatorTerms(R"({"log":{"level":3}})");
+        config::readOperatorConfig(R"({"log":{"level":3}})");
         FAIL();
-    } catch (const Malformed& error) { EXPECT_EQ(std::string(error.what()).find("/log/level: "), 0U); }
+    } catch (const InputError& error) { EXPECT_EQ(std::string(error.what()).find("/log/level: "), 0U); }
 }
 
 TEST(OperatorFile, AbsentPartsAreOffAndTheRestIsAsWritten) {
-    EXPECT_FALSE(terms::readOperatorTerms("{}").channel);
-    EXPECT_FALSE(terms::operatorTermsOfFile("").channel);
-    EXPECT_EQ(terms::readOperatorTerms("{}").log, terms::LogTerms{});
-    const auto read = terms::readOperatorTerms(
+    EXPECT_FALSE(config::readOperatorConfig("{}").channel);
+    EXPECT_FALSE(config::loadOperatorConfig("").channel);
+    EXPECT_EQ(config::readOperatorConfig("{}").log, config::LogConfig{});
+    const auto read = config::readOperatorConfig(
         R"({"log":{"format":"json","level":"warn"},"channel":{"listen":"127.0.0.1:9","beat_s":0.25,"subscribers":7}})");
     EXPECT_TRUE(read.log.json);
     EXPECT_EQ(read.log.least, 2);
-    EXPECT_EQ(read.channel->beat, 250ms);
+    EXPECT_EQ(read.channel->heartbeatInterval, 250ms);
     EXPECT_EQ(read.channel->subscribers, 7U);
-    EXPECT_EQ(read.channel->lease, terms::PubsubTerms{}.lease);
+    EXPECT_EQ(read.channel->leaseDuration, config::PubsubConfig{}.leaseDuration);
 }
 
 TEST(CheckCommand, TellsFileAndPlaceOfEachFaultAndTheExitCode) {
--- a/tests/digest_decisions.cpp
+++ b/tests/digest_decisions.cpp
@@ -1,6 +1,6 @@
 // Recorded days of the decision module: every order with its arguments, in the order in which it was given.
 #include "digest_days.h"
-#include "world.h"
+#include "proxy_model.h"
 
 namespace zincstack::tests {
 
@@ -21,53 +21,54 @@
     bool channelIsCounted = false; ///< the caller can tell what waits, so that starter tables are used
     std::size_t wholeTables = 0;   ///< tables with higher ids are starter tables
 
-    void setLine(TableId table, ServerId server, double weight) override {
+    void setWeight(TableId table, EndpointId server, double weight) override {
         countLine(table, server, weight);
         record("setLine",
                {{"table", number(table)}, {"server", number(server)}, {"weight", exactText(weight)}});
-        World::setLine(table, server, weight);
+        World::setWeight(table, server, weight);
     }
-    void bind(ProxyId proxy, ProductSet set, TableId table) override {
+    void assignTable(ProxyId proxy, RequestClassSet set, TableId table) override {
         if (isStarter(table)) ++day.coverage["starter table bound"];
         record("bind",
                {{"proxy", number(proxy)}, {"products", std::to_string(set)}, {"table", number(table)}});
-        World::bind(proxy, set, table);
+        World::assignTable(proxy, set, table);
     }
-    void withdraw(ServerId server, bool out) override {
+    void setExcluded(EndpointId server, bool out) override {
         record("withdraw", {{"server", number(server)}, {"out", std::to_string(out)}});
         ++day.coverage[out ? "server shut out" : "server let back"];
-        World::withdraw(server, out);
+        World::setExcluded(server, out);
     }
-    void admit(std::optional<TableId> table, ProductSet set, double level, FurtherTries tries) override {
+    void setAdmission(std::optional<TableId> table, RequestClassSet set, double level,
+                      RetryPolicy tries) override {
         record("admit", {{"table", table ? number(*table) : "all"},
                          {"products", std::to_string(set)},
                          {"level", exactText(level)},
                          {"tries", std::to_string(static_cast<int>(tries))}});
-        World::admit(table, set, level, tries);
+        World::setAdmission(table, set, level, tries);
     }
-    void mark(MarkId mark, bool everyProxy) override {
+    void requestBarrier(BarrierId mark, bool everyProxy) override {
         record("mark", {{"number", number(mark)}, {"everyProxy", std::to_string(everyProxy)}});
-        World::mark(mark, everyProxy);
+        World::requestBarrier(mark, everyProxy);
     }
-    void probe(ServerId server) override {
+    void probe(EndpointId server) override {
         record("probe", {{"server", number(server)}});
         World::probe(server);
     }
-    void followList() override {
+    void subscribeToEndpoints() override {
         record("followList", {});
-        World::followList();
+        World::subscribeToEndpoints();
     }
-    void wakeAfter(Micros span) override {
+    void scheduleWakeUp(Micros span) override {
         record("wakeAfter", {{"span", std::to_string(span.count())}});
-        World::wakeAfter(span);
+        World::scheduleWakeUp(span);
     }
-    bool forget(ServerId server) override {
-        const bool done = World::forget(server);
+    bool forgetEndpoint(EndpointId server) override {
+        const bool done = World::forgetEndpoint(server);
         record("forget", {{"server", number(server)}, {"done", std::to_string(done)}});
         return done;
     }
-    bool letBack(ProxyId proxy, std::size_t most) override {
-        const bool done = World::letBack(proxy, most);
+    bool clearStaleExclusions(ProxyId proxy, std::size_t most) override {
+        const bool done = World::clearStaleExclusions(proxy, most);
         record("letBack",
                {{"proxy", number(proxy)}, {"most", std::to_string(most)}, {"done", std::to_string(done)}});
         return done;
@@ -82,12 +83,12 @@
         for (const Message& message : queue) waiting += message.lines;
         return waiting;
     }
-    bool needsMark() const override {
+    bool needsBarrier() const override {
         constexpr Micros kEvery = 1850ms;
         constexpr Micros kFor = 50ms;
         return channelIsCounted && now % kEvery < kFor;
     }
-    bool rebinds(ProxyId) const override { return channelIsCounted; }
+    bool supportsReassignment(ProxyId) const override { return channelIsCounted; }
 
 private:
     static std::string number(const auto& id) { return std::to_string(id.value); }
@@ -97,7 +98,7 @@
         ++day.coverage[std::string(order)];
         day.events.push_back(eventText(now, order, values));
     }
-    void countLine(TableId table, ServerId server, double weight) {
+    void countLine(TableId table, EndpointId server, double weight) {
         if (isStarter(table)) ++day.coverage["starter table line"];
         const auto before = tables[table].find(server);
         const bool lowered = before != tables[table].end() && weight > 0 && weight < before->second;
@@ -134,17 +135,18 @@
         world_.channelIsCounted = seed % 2 == 1;
         world_.forgets = numbers_.chance(0.5);
         world_.tellsOnce = numbers_.chance(0.5);
-        world_.fleet.zones = static_cast<std::uint8_t>(numbers_.between(1, 3));
-        world_.fleet.weightsListed = numbers_.chance(0.7);
-        world_.fleet.listMustBeAsked = numbers_.chance(0.2);
-        world_.fleet.mayProbe = numbers_.chance(0.9);
-        world_.forwarders.throttle = numbers_.oneOf({Throttle::None, Throttle::Share, Throttle::Rate});
-        world_.forwarders.standingLines = static_cast<std::uint32_t>(numbers_.between(2, 6));
-        world_.channel.messagesMost = numbers_.oneOf({0U, 0U, 6U, 30U});
+        world_.fleet.zoneCount = static_cast<std::uint8_t>(numbers_.between(1, 3));
+        world_.fleet.hasEndpointWeights = numbers_.chance(0.7);
+        world_.fleet.mustSubscribeToEndpoints = numbers_.chance(0.2);
+        world_.fleet.probingAllowed = numbers_.chance(0.9);
+        world_.forwarders.throttleMode =
+            numbers_.oneOf({ThrottleMode::None, ThrottleMode::Fraction, ThrottleMode::Rate});
+        world_.forwarders.bootstrapTableSize = static_cast<std::uint32_t>(numbers_.between(2, 6));
+        world_.channel.maxMessagesPerProxy = numbers_.oneOf({0U, 0U, 6U, 30U});
         world_.channel.linesPerSecond = numbers_.oneOf({400.0, 4000.0, 7000.0});
-        world_.channel.queueMost = numbers_.oneOf({500.0, 4000.0, 20000.0});
-        world_.guards.goneBinds = numbers_.chance(0.7);
-        for (ProductTerms& product : world_.products) product.ownZoneOnly = numbers_.chance(0.25);
+        world_.channel.maxQueuedLines = numbers_.oneOf({500.0, 4000.0, 20000.0});
+        world_.guards.removalIsBinding = numbers_.chance(0.7);
+        for (RequestClassConfig& product : world_.products) product.zoneLocal = numbers_.chance(0.25);
         world_.wholeTables = countWholeTables();
         busyZone_ = numbers_.chance(0.4);
     }
@@ -152,10 +154,12 @@
     std::size_t countWholeTables() const {
         std::size_t groups = 0;
         for (const bool ownZone : {false, true})
-            groups += std::ranges::count(world_.products, ownZone, &ProductTerms::ownZoneOnly) > 0;
-        return groups * world_.fleet.zones;
+            groups += std::ranges::count(world_.products, ownZone, &RequestClassConfig::zoneLocal) > 0;
+        return groups * world_.fleet.zoneCount;
+    }
+    std::uint8_t zoneOf(std::uint64_t id) const {
+        return static_cast<std::uint8_t>(id % world_.fleet.zoneCount);
     }
-    std::uint8_t zoneOf(std::uint64_t id) const { return static_cast<std::uint8_t>(id % world_.fleet.zones); }
     void addServers() {
         const auto count = numbers_.between(4, 30);
         for (std::uint64_t id = 0; id < count; ++id) {
@@ -170,13 +174,13 @@
     /// The proxy holds a few servers, or the whole of an old table.
     void join(std::uint16_t proxy) {
         const bool hasWholeTable = numbers_.chance(0.3);
-        std::set<ServerId> holds;
+        std::set<EndpointId> holds;
         for (const auto& [id, one] : world_.known)
-            if (one.entry.state != ListedState::Gone && numbers_.chance(hasWholeTable ? 0.95 : 0.2))
+            if (one.entry.state != EndpointState::Removed && numbers_.chance(hasWholeTable ? 0.95 : 0.2))
                 holds.insert(id);
         world_.join(proxy, zoneOf(proxy), rateOf(proxy), std::move(holds));
     }
-    ServerId anyServer() {
+    EndpointId anyServer() {
         return std::next(world_.known.begin(),
                          static_cast<std::ptrdiff_t>(numbers_.below(world_.known.size())))
             ->first;
@@ -185,10 +189,10 @@
     void happen() {
         switch (numbers_.below(14)) {
         case 0:
-        case 1: world_.news(anyServer().value, ListedState::Draining); break;
-        case 2: world_.news(anyServer().value, ListedState::Gone); break;
-        case 3: world_.news(anyServer().value, ListedState::Ready); break;
-        case 4: world_.news(anyServer().value, ListedState::Ready, world_.now - anyMicros(12s)); break;
+        case 1: world_.news(anyServer().value, EndpointState::Draining); break;
+        case 2: world_.news(anyServer().value, EndpointState::Removed); break;
+        case 3: world_.news(anyServer().value, EndpointState::Ready); break;
+        case 4: world_.news(anyServer().value, EndpointState::Ready, world_.now - anyMicros(12s)); break;
         case 5:
         case 6:
         case 7: startServers(); break;
@@ -204,16 +208,16 @@
     void startServers() {
         for (auto count = numbers_.between(1, 4); count > 0; --count) {
             const std::uint64_t id = nextServer_++;
-            ListedServer& entry = world_.known[{id}].entry;
+            EndpointUpdate& entry = world_.known[{id}].entry;
             entry.weight = static_cast<double>(numbers_.between(1, 3));
             entry.zone = {zoneOf(id)};
-            world_.news(id, ListedState::Ready, numbers_.chance(0.5) ? 0us : world_.now - anyMicros(2s));
+            world_.news(id, EndpointState::Ready, numbers_.chance(0.5) ? 0us : world_.now - anyMicros(2s));
         }
     }
     /// Some servers end while others take their place.
     void release() {
         for (auto count = numbers_.between(1, 5); count > 0; --count)
-            world_.news(anyServer().value, ListedState::Draining);
+            world_.news(anyServer().value, EndpointState::Draining);
         startServers();
     }
     void leaveOrCome() {
@@ -224,15 +228,15 @@
             join(proxy);
     }
     void tellWholeList() {
-        const auto news =
-            numbers_.oneOf({ListNews::Cached, ListNews::Whole, ListNews::Whole, ListNews::Failed});
-        std::vector<ListedServer> entries;
+        const auto news = numbers_.oneOf({EndpointListUpdate::Cached, EndpointListUpdate::Snapshot,
+                                          EndpointListUpdate::Snapshot, EndpointListUpdate::PollFailed});
+        std::vector<EndpointUpdate> entries;
         for (auto& [id, one] : world_.known) {
-            const bool named = one.entry.state != ListedState::Gone && !numbers_.chance(0.03);
-            if (!named) one.entry.state = ListedState::Gone;
-            if (named && news != ListNews::Failed) entries.push_back(one.entry);
+            const bool named = one.entry.state != EndpointState::Removed && !numbers_.chance(0.03);
+            if (!named) one.entry.state = EndpointState::Removed;
+            if (named && news != EndpointListUpdate::PollFailed) entries.push_back(one.entry);
         }
-        world_.batch([&] { world_.planner->list(news, entries); });
+        world_.batch([&] { world_.planner->updateEndpoints(news, entries); });
     }
 
     void changeCondition(int second) {
@@ -243,17 +247,17 @@
         for (auto count = numbers_.between(1, 4); count > 0; --count) affected_.insert(anyServer());
         changesAt_ = second + static_cast<int>(numbers_.between(3, 9));
     }
-    bool isAffected(ServerId server) const {
+    bool isAffected(EndpointId server) const {
         const bool all = condition_ == Condition::AllAreSlow || condition_ == Condition::MostFail;
         return condition_ != Condition::Well && (all || affected_.contains(server));
     }
-    double failingShare(ServerId server) {
+    double failingShare(EndpointId server) {
         if (!isAffected(server)) return numbers_.chance(0.1) ? 0.1 : 0;
         if (condition_ == Condition::FewFail) return numbers_.oneOf({0.6, 0.8, 1.0});
         if (condition_ == Condition::MostFail) return 0.3 + 0.7 * numbers_.share();
         return 0.2 * numbers_.share();
     }
-    Micros delayOf(ServerId server) {
+    Micros delayOf(EndpointId server) {
         const bool isSlow = isAffected(server) && condition_ != Condition::FewFail;
         return isSlow ? 900ms + anyMicros(2s) : 50ms + anyMicros(200ms);
     }
@@ -261,48 +265,48 @@
     void report() {
         double rate = 0;
         for (const auto& [id, proxy] : world_.proxies) rate += rateOf(id.value);
-        const double lines = static_cast<double>(world_.known.size()) * world_.fleet.zones;
+        const double lines = static_cast<double>(world_.known.size()) * world_.fleet.zoneCount;
         const auto tries = static_cast<std::uint32_t>(rate * (0.7 + numbers_.share()) / lines) + 3;
         world_.batch([&] {
             for (const auto& [id, one] : world_.known)
-                if (one.entry.state == ListedState::Ready && !world_.withdrawn.contains(id))
+                if (one.entry.state == EndpointState::Ready && !world_.withdrawn.contains(id))
                     reportServer(id, tries);
             for (const auto& [id, proxy] : world_.proxies) reportUsage(id);
         });
     }
-    void reportServer(ServerId server, std::uint32_t tries) {
+    void reportServer(EndpointId server, std::uint32_t tries) {
         if (condition_ == Condition::FewAreSilent && isAffected(server)) return;
-        for (std::uint8_t zone = 0; zone < world_.fleet.zones; ++zone) {
-            ServerSums sums{
-                .server = server, .proxiesZone = {zone}, .tries = tries, .span = 1s, .report = {}};
-            sums.unanswered = static_cast<std::uint32_t>(tries * failingShare(server));
-            if (sums.unanswered < tries) sums.meanDelay = delayOf(server);
-            if (numbers_.chance(0.5)) sums.report.held = isAffected(server) ? 40 : 5 * numbers_.share();
-            if (numbers_.chance(0.2)) sums.report.waiting = 10 * numbers_.share();
-            world_.planner->sums(sums);
+        for (std::uint8_t zone = 0; zone < world_.fleet.zoneCount; ++zone) {
+            EndpointLoadReport sums{
+                .endpoint = server, .proxyZone = {zone}, .attempts = tries, .interval = 1s, .load = {}};
+            sums.failures = static_cast<std::uint32_t>(tries * failingShare(server));
+            if (sums.failures < tries) sums.meanLatency = delayOf(server);
+            if (numbers_.chance(0.5)) sums.load.inFlight = isAffected(server) ? 40 : 5 * numbers_.share();
+            if (numbers_.chance(0.2)) sums.load.queueLength = 10 * numbers_.share();
+            world_.planner->reportLoad(sums);
         }
     }
     void reportUsage(ProxyId proxy) {
         for (std::uint16_t product = 0; product < world_.products.size(); ++product) {
             const double each = rateOf(proxy.value) / static_cast<double>(world_.products.size());
             const auto txns = static_cast<std::uint32_t>(each * (0.8 + 0.4 * numbers_.share()));
-            world_.planner->usage({proxy, {product}, txns, txns / 10, 1s});
+            world_.planner->reportDemand({proxy, {product}, txns, txns / 10, 1s});
         }
     }
     void answerProbes() {
         const auto asked = std::exchange(world_.probes, {});
         world_.batch([&] {
-            for (const ServerId server : asked) world_.planner->probed(probeResult(server));
+            for (const EndpointId server : asked) world_.planner->probeCompleted(probeResult(server));
         });
     }
-    ProbeResult probeResult(ServerId server) {
-        ProbeResult result{.server = server, .status = ProbeStatus::Answered, .delay = 5ms, .report = {}};
+    ProbeResult probeResult(EndpointId server) {
+        ProbeResult result{.endpoint = server, .status = ProbeStatus::Answered, .latency = 5ms, .load = {}};
         if (isAffected(server))
             result.status = static_cast<ProbeStatus>(numbers_.below(6));
         else if (numbers_.chance(0.1))
             result.status = ProbeStatus::TimedOut;
-        if (numbers_.chance(0.2)) result.delay = 400ms + anyMicros(1s);
-        if (numbers_.chance(0.3)) result.report.held = 40 * numbers_.share();
+        if (numbers_.chance(0.2)) result.latency = 400ms + anyMicros(1s);
+        if (numbers_.chance(0.3)) result.load.inFlight = 40 * numbers_.share();
         return result;
     }
     void passPart() { world_.pass(50ms * static_cast<std::int64_t>(numbers_.between(4, 16))); }
@@ -311,7 +315,7 @@
     SeededNumbers numbers_;
     RecordingWorld world_;
     Condition condition_ = Condition::Well;
-    std::set<ServerId> affected_;
+    std::set<EndpointId> affected_;
     int changesAt_ = 3;
     bool busyZone_ = false; // one zone has most of the traffic, more than its own servers can take
     std::uint64_t nextServer_ = kListedLater;
--- a/tests/digest_pubsub.cpp
+++ b/tests/digest_pubsub.cpp
@@ -4,7 +4,7 @@
 #include <stdexcept>
 
 #include "digest_days.h"
-#include "yard.h"
+#include "pubsub_harness.h"
 
 namespace zincstack::tests {
 
@@ -42,8 +42,8 @@
 class PubsubDay {
 public:
     explicit PubsubDay(std::uint64_t seed) : numbers_(seed) {
-        yard_.pace.linesEach = numbers_.oneOf({20U, 100U, 300U});
-        yard_.pace.queueMost = numbers_.oneOf({150.0, 600.0, 4000.0});
+        yard_.pace.maxLinesPerSubscriber = numbers_.oneOf({20U, 100U, 300U});
+        yard_.pace.maxQueuedLines = numbers_.oneOf({150.0, 600.0, 4000.0});
         yard_.tombstones = numbers_.oneOf({2U, 10U, 50U});
         yard_.hub.reset();
         yard_.open();
@@ -139,27 +139,28 @@
         yard_.batch([&] {
             for (auto count = numbers_.between(1, 3); count > 0; --count) {
                 const int server = anyServer();
-                const bool out = yard_.book.withdrawnServers().contains(yard_.server(server));
+                const bool out = yard_.book.excludedEndpoints().contains(yard_.server(server));
                 yard_.withdraw(server, !out);
             }
         });
     }
     void changeLevel() {
         yard_.batch([&] {
-            const auto products = static_cast<ProductSet>(numbers_.between(1, 3));
+            const auto products = static_cast<RequestClassSet>(numbers_.between(1, 3));
             std::optional<TableId> table;
             if (numbers_.chance(0.8)) table = Yard::tableOf(numbers_.below(Yard::kZones));
-            const auto tries = static_cast<FurtherTries>(numbers_.below(4));
-            yard_.book.admit(table, products, numbers_.share(), tries);
+            const auto tries = static_cast<RetryPolicy>(numbers_.below(4));
+            yard_.book.setAdmission(table, products, numbers_.share(), tries);
         });
     }
     void reportUsage() {
         Yard::Client& client = anyClient();
         if (client.subscription.state() != client::Subscription::State::Live) return;
-        client.say(client.subscription.usage("order", static_cast<std::uint32_t>(numbers_.below(50)), 2, 1s));
+        client.say(
+            client.subscription.encodeDemand("order", static_cast<std::uint32_t>(numbers_.below(50)), 2, 1s));
     }
     void askForSnapshot() {
-        pubsub::Frame ask{pubsub::Type::Ask};
+        pubsub::Frame ask{pubsub::FrameType::Ask};
         ask.topic = pubsub::topicOf(Yard::tableOf(numbers_.below(Yard::kZones)));
         ask.epoch = yard_.hub->epoch();
         anyClient().say(pubsub::writeFrame(ask, false));
@@ -174,9 +175,9 @@
     }
     void switchOffAndOn() {
         ++day_.coverage["switched off"];
-        yard_.hub->off();
+        yard_.hub->suspend();
         yard_.second();
-        yard_.hub->on();
+        yard_.hub->resume();
         yard_.second();
     }
     void restart() {
--- a/tests/digest_push.cpp
+++ b/tests/digest_push.cpp
@@ -1,6 +1,6 @@
 // Recorded days of a small fleet: the bytes that the platform's front writes to each proxy's stream.
 #include "digest_days.h"
-#include "fleet.h"
+#include "simulated_fleet.h"
 
 namespace zincstack::tests {
 
@@ -30,7 +30,7 @@
         : numbers_(numbers), day_(day), comeWithOldTables_(comeWithOldTables), fleet_(figures) {
         fleet_.onBytes = [this](std::uint16_t proxy, std::string_view bytes) { record(proxy, bytes); };
         for (auto count = numbers_.between(12, 40); count > 0; --count) fleet_.addServer();
-        fleet_.tellWholeList(ListNews::Cached);
+        fleet_.tellWholeList(EndpointListUpdate::Cached);
         servers_ = fleet_.readyServers();
     }
     void play() {
@@ -75,8 +75,8 @@
     void release() {
         ++day_.coverage["releases"];
         const auto count = numbers_.between(1, 4);
-        std::vector<std::pair<std::size_t, ListedState>> changes;
-        const auto state = numbers_.chance(0.7) ? ListedState::Draining : ListedState::Gone;
+        std::vector<std::pair<std::size_t, EndpointState>> changes;
+        const auto state = numbers_.chance(0.7) ? EndpointState::Draining : EndpointState::Removed;
         for (std::uint64_t k = 0; k < count && oldest_ < servers_.count(); ++k)
             changes.emplace_back(oldest_++, state);
         fleet_.tellChanges(changes);
--- a/tests/digest_simwire.cpp
+++ b/tests/digest_simwire.cpp
@@ -214,7 +214,7 @@
     void changeServer(std::uint32_t who) {
         const auto number = numbers_.below(servers_);
         states_[number] = static_cast<std::uint8_t>(numbers_.below(3));
-        const bool isReady = states_[number] == static_cast<std::uint8_t>(ListedState::Ready);
+        const bool isReady = states_[number] == static_cast<std::uint8_t>(EndpointState::Ready);
         if (isReady) readyAt_[number] = static_cast<double>(now_.count()) / 1e6;
         tellPool(who, numbers_.oneOf<std::uint8_t>({2, 2, 3})); // changes, or the whole list
     }
@@ -245,7 +245,7 @@
         if (numbers_.chance(0.2)) allAreSlow_ = !allAreSlow_;
         for (const auto& [who, proxies] : joined_) {
             for (std::size_t number = 0; number < servers_; ++number)
-                if (states_[number] == static_cast<std::uint8_t>(ListedState::Ready)) putSums(who, number);
+                if (states_[number] == static_cast<std::uint8_t>(EndpointState::Ready)) putSums(who, number);
             for (const auto proxy : proxies) putUsage(who, proxy);
         }
     }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,9 +1,9 @@
 // Whole fleets on one planner while servers are released and planners restart: the days of the incident of
-// docs/incidents/2026-12-backlog-drain.md, played on the planner's own streams (fleet.h). Figures are of the size at
+// docs/incidents/2026-12-backlog-drain.md, played on the planner's own streams (simulated_fleet.h). Figures are of the size at
 // which it was seen; 60 proxies never showed it.
 #include <gtest/gtest.h>
 
-#include "fleet.h"
+#include "simulated_fleet.h"
 
 namespace zincstack::tests {
 namespace {
@@ -26,8 +26,8 @@
     Release(Fleet& fleet, std::size_t step) : fleet_(fleet), step_(step) {}
     void second(int number) {
         if (number % 2) return;
-        std::vector<std::pair<std::size_t, ListedState>> changes;
-        for (std::size_t k = 0; k < step_; ++k) changes.emplace_back(oldest_++, ListedState::Draining);
+        std::vector<std::pair<std::size_t, EndpointState>> changes;
+        for (std::size_t k = 0; k < step_; ++k) changes.emplace_back(oldest_++, EndpointState::Draining);
         fleet_.tellChanges(changes);
         for (std::size_t k = 0; k < step_; ++k) fleet_.startServer();
     }
@@ -73,7 +73,7 @@
 
 void addServers(Fleet& fleet) {
     for (std::size_t k = 0; k < kServers; ++k) fleet.addServer();
-    fleet.tellWholeList(ListNews::Cached);
+    fleet.tellWholeList(EndpointListUpdate::Cached);
 }
 
 /// All planners are killed in a release, and this one is the first that is back.
@@ -131,7 +131,7 @@
                  .drainGrace = 3200ms,
                  .bareMost = 3400ms});
     for (int k = 0; k < 60; ++k) fleet.addServer();
-    fleet.tellWholeList(ListNews::Cached);
+    fleet.tellWholeList(EndpointListUpdate::Cached);
     const ServerSet all = fleet.readyServers();
     for (std::uint16_t proxy = 0; proxy < 20; ++proxy) {
         ServerSet standing;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -11,13 +11,13 @@
 #include <algorithm>
 #include <memory>
 
+#include "config/start_file.h"
 #include "discovery/discovery_watch.h"
 #include "net/listener.h"
-#include "net/shares.h"
-#include "platform/door.h"
+#include "net/resource_budget.h"
 #include "platform/peer_session.h"
 #include "platform/prober.h"
-#include "terms/station.h"
+#include "platform/session_acceptor.h"
 
 namespace zincstack::net {
 namespace {
@@ -36,7 +36,7 @@
 std::string faultOf(const auto& call) {
     try {
         call();
-    } catch (const Malformed& error) { return error.what(); }
+    } catch (const InputError& error) { return error.what(); }
     return "";
 }
 
@@ -68,17 +68,18 @@
     "Extra":{"ZoneBound":[false,true]},"Nothing":null}})";
 
 TEST(StationFile, NestedTermsBecomePairsAndFaultsNameTheField) {
-    const Station station = readStation(kPosting);
+    const StartFile station = readStartFile(kPosting);
     EXPECT_EQ(station.seed, 0x8c1f30d27a5be964U);
     EXPECT_EQ(station.sockets, 512U);
-    const terms::FlatTerms wanted{{"Zones", "a,b_c"},      {"Classes.count", "2"},
-                                  {"Classes.0.Name", "x"}, {"Classes.0.AimS", "1.0"},
-                                  {"Classes.1.Name", "y"}, {"Extra.ZoneBound", "false,true"}};
+    const config::FlatSettings wanted{{"Zones", "a,b_c"},      {"Classes.count", "2"},
+                                      {"Classes.0.Name", "x"}, {"Classes.0.AimS", "1.0"},
+                                      {"Classes.1.Name", "y"}, {"Extra.ZoneBound", "false,true"}};
     EXPECT_EQ(station.flat, wanted);
     for (const std::string_view field : {"name", "listen", "discovery", "seed", "settings"}) {
         std::string text(kPosting);
         text.replace(text.find(field), field.size(), "other");
-        EXPECT_NE(faultOf([&] { readStation(text); }).find("field " + std::string(field)), std::string::npos);
+        EXPECT_NE(faultOf([&] { readStartFile(text); }).find("field " + std::string(field)),
+                  std::string::npos);
     }
 }
 
@@ -165,35 +166,37 @@
 struct Recorder : Planner {
     std::vector<std::string> seen;
     std::function<void()> orders;
-    std::vector<ListedServer> listed;
-    std::vector<ServerSums> summed;
+    std::vector<EndpointUpdate> listed;
+    std::vector<EndpointLoadReport> summed;
     std::vector<ProbeResult> results;
     int decided = 0;
     void note(std::string text) { seen.push_back(std::move(text)); }
-    void begin(Micros) override {}
-    void list(ListNews news, std::span<const ListedServer> entries) override {
+    void beginBatch(Micros) override {}
+    void updateEndpoints(EndpointListUpdate news, std::span<const EndpointUpdate> entries) override {
         note("list " + std::to_string(static_cast<int>(news)) + " " + std::to_string(entries.size()));
         listed.assign(entries.begin(), entries.end());
     }
-    void joined(ProxyId proxy, ZoneId zone, double, bool fresh) override {
+    void proxyJoined(ProxyId proxy, ZoneId zone, double, bool fresh) override {
         note("joined " + std::to_string(proxy.value) + " zone " + std::to_string(zone.value) +
              (fresh ? " fresh" : ""));
     }
-    void left(ProxyId proxy) override { note("left " + std::to_string(proxy.value)); }
-    void sums(const ServerSums& line) override { summed.push_back(line); }
-    void usage(const UsageSums& line) override {
-        note("usage " + std::to_string(line.product.value) + " " + std::to_string(line.txns));
+    void proxyLeft(ProxyId proxy) override { note("left " + std::to_string(proxy.value)); }
+    void reportLoad(const EndpointLoadReport& line) override { summed.push_back(line); }
+    void reportDemand(const DemandReport& line) override {
+        note("usage " + std::to_string(line.requestClass.value) + " " + std::to_string(line.requests));
     }
-    void applied(ProxyId, MarkId mark) override { note("applied " + std::to_string(mark.value)); }
-    void probed(const ProbeResult& result) override { results.push_back(result); }
-    void woken() override {}
+    void barrierAcknowledged(ProxyId, BarrierId mark) override {
+        note("applied " + std::to_string(mark.value));
+    }
+    void probeCompleted(const ProbeResult& result) override { results.push_back(result); }
+    void timerExpired() override {}
     void decide() override {
         ++decided;
         if (orders) std::exchange(orders, {})();
     }
 };
 
-struct Reader : PushTarget {
+struct Reader : PushStream {
     std::string got;
     bool slow = false, over = false;
     bool push(std::string_view bytes) override {
@@ -209,17 +212,17 @@
     BufferPool pool{64}; // outlives what the loop still holds when it ends
     boost::asio::io_context io;
     Counters counters;
-    Names names{{"lookup", "order"}, {"a", "b"}};
+    NameRegistry names{{"lookup", "order"}, {"a", "b"}};
     Recorder planner;
-    std::vector<ServerId> probes;
-    orders::OrderBook book{names, counters, [this](ServerId server) { probes.push_back(server); },
-                           [](Micros) {}};
-    Outbox outbox{book, names, counters};
-    Engine engine{io, planner, book, counters, 0us};
-    Intake intake{engine, book, outbox, names, counters, 20};
-    Door door{intake, counters, pool};
+    std::vector<EndpointId> probes;
+    routing::RoutingState book{names, counters, [this](EndpointId server) { probes.push_back(server); },
+                               [](Micros) {}};
+    UpdateQueue outbox{book, names, counters};
+    BatchRunner engine{io, planner, book, counters, 0us};
+    InputTranslator intake{engine, book, outbox, names, counters, 20};
+    SessionAcceptor door{intake, counters, pool};
     int alive = 0;
-    ServerId s1, s2;
+    EndpointId s1, s2;
     const TableId table{3};
 
     void settle() {
@@ -228,14 +231,14 @@
     }
     void order(std::function<void()> orders) {
         planner.orders = std::move(orders);
-        engine.input();
+        engine.openBatch();
         settle();
     }
     std::shared_ptr<Listener> listenFor(std::size_t peers) {
         const auto out = std::make_shared<Listener>(
             io, boost::asio::ip::tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0), peers,
-            Door::kQueueBytesMost, counters, pool, pool,
-            [this](Connection& connection) { return door.peer(connection); });
+            SessionAcceptor::kQueueBytesMost, counters, pool, pool,
+            [this](Connection& connection) { return door.accept(connection); });
         out->start();
         return out;
     }
@@ -251,15 +254,15 @@
         const json::Value all = json::read(
             R"([{"id":"s-1","host_port":"127.0.0.1:1","locality":"a","cell":3,"phase":"Ready","size":1.5,"up_since_ms":2},
                 {"id":"s-2","host_port":"127.0.0.1:2","locality":"b","cell":3,"phase":"Terminating","size":1}])");
-        ASSERT_TRUE(intake.list(ListNews::Whole, all));
-        s1 = *names.server("s-1"), s2 = *names.server("s-2");
+        ASSERT_TRUE(intake.list(EndpointListUpdate::Snapshot, all));
+        s1 = *names.endpoint("s-1"), s2 = *names.endpoint("s-2");
     }
 };
 
 TEST_F(Desk, MessagesBecomeInputsAndWhatIsBadIsCountedAndSkipped) {
     listTwo();
     EXPECT_EQ(planner.listed.at(0).startedAt, 2ms);
-    EXPECT_EQ(planner.listed.at(1).state, ListedState::Draining);
+    EXPECT_EQ(planner.listed.at(1).state, EndpointState::Draining);
     Reader collectorEnd, proxyEnd;
     const auto collector = session(collectorEnd), stream = session(proxyEnd);
     EXPECT_TRUE(
@@ -268,22 +271,22 @@
                         "tries=19 failed=0 span_ms=1000.0\r\n"));
     EXPECT_EQ(alive, 2);
     ASSERT_EQ(planner.summed.size(), 1U);
-    const ServerSums line = planner.summed[0];
-    EXPECT_EQ(line.server, s2);
-    EXPECT_EQ(line.meanDelay, Micros(41'700));
-    EXPECT_EQ(line.report.busyShare, 0.61);
-    EXPECT_EQ(line.report.waiting, 7);
-    EXPECT_FALSE(line.report.held);
-
-    const std::pair<Count, std::string_view> bad[] = {
-        {Count::Hellos, "hello proxy=17 zone=b weight=1 fresh=1 extra=9\r\n"},
-        {Count::OutOfPlace, "hello proxy=17 zone=b weight=1 fresh=1\r\n"},
-        {Count::OutOfPlace, "outcomes zone=b server=s-1 tries=1 failed=0 span_ms=1\r\n"},
-        {Count::BadName, "demand proxy=17 class=other tries=1 failed=0 span_ms=1\r\n"},
-        {Count::BadField, "demand proxy=17 class=order tries=1.5 failed=0 span_ms=1\r\n"},
-        {Count::BadField, "ack proxy=16 mark=1\r\n"},
-        {Count::BadField, "ack proxy=17 mark=65536\r\n"},
-        {Count::OutOfPlace, "line proxy=17\r\n"}};
+    const EndpointLoadReport line = planner.summed[0];
+    EXPECT_EQ(line.endpoint, s2);
+    EXPECT_EQ(line.meanLatency, Micros(41'700));
+    EXPECT_EQ(line.load.utilization, 0.61);
+    EXPECT_EQ(line.load.queueLength, 7);
+    EXPECT_FALSE(line.load.inFlight);
+
+    const std::pair<Counter, std::string_view> bad[] = {
+        {Counter::Hellos, "hello proxy=17 zone=b weight=1 fresh=1 extra=9\r\n"},
+        {Counter::OutOfPlace, "hello proxy=17 zone=b weight=1 fresh=1\r\n"},
+        {Counter::OutOfPlace, "outcomes zone=b server=s-1 tries=1 failed=0 span_ms=1\r\n"},
+        {Counter::BadName, "demand proxy=17 class=other tries=1 failed=0 span_ms=1\r\n"},
+        {Counter::BadField, "demand proxy=17 class=order tries=1.5 failed=0 span_ms=1\r\n"},
+        {Counter::BadField, "ack proxy=16 mark=1\r\n"},
+        {Counter::BadField, "ack proxy=17 mark=65536\r\n"},
+        {Counter::OutOfPlace, "line proxy=17\r\n"}};
     for (const auto& [what, text] : bad) {
         const auto before = counters.of(what);
         EXPECT_TRUE(stream->feed(text));
@@ -304,11 +307,11 @@
          {"busy:0.5,q:2,rif:3,lat_ms:4", "util:0.5,queue:2,inflight:3,latency_ms:4"}) {
         collector->feed("outcomes zone=a server=s-1 tries=1 failed=0 mean_ms=1 span_ms=1 load=" +
                         std::string(load) + "\r\n");
-        const LoadReport& report = planner.summed.back().report;
-        EXPECT_EQ(report.busyShare, 0.5);
-        EXPECT_EQ(report.waiting, 2);
-        EXPECT_EQ(report.held, 3);
-        EXPECT_EQ(report.serviceMillis, 4);
+        const LoadReport& report = planner.summed.back().load;
+        EXPECT_EQ(report.utilization, 0.5);
+        EXPECT_EQ(report.queueLength, 2);
+        EXPECT_EQ(report.inFlight, 3);
+        EXPECT_EQ(report.serviceTimeMillis, 4);
     }
 }
 
@@ -317,10 +320,10 @@
          {R"([{"id":"s-1","phase":"Ready"}])", R"([{"phase":"Gone"}])", R"([3])",
           R"([{"id":"x","host_port":"h","locality":"zz","phase":"Ready"}])",
           R"([{"id":"x","host_port":"h","locality":"a","phase":"Ready","size":-1}])"})
-        EXPECT_FALSE(intake.list(ListNews::Whole, json::read(bad))) << bad;
+        EXPECT_FALSE(intake.list(EndpointListUpdate::Snapshot, json::read(bad))) << bad;
     EXPECT_TRUE(planner.seen.empty());
-    EXPECT_FALSE(names.server("x") || names.server("s-1"));
-    EXPECT_TRUE(intake.list(ListNews::Changes, json::read(R"([{"id":"s-9","phase":"Gone"}])")));
+    EXPECT_FALSE(names.endpoint("x") || names.endpoint("s-1"));
+    EXPECT_TRUE(intake.list(EndpointListUpdate::Delta, json::read(R"([{"id":"s-9","phase":"Gone"}])")));
 }
 
 /// A whole list with one spoilt entry was refused for good, and no drain was heard any more.
@@ -328,14 +331,14 @@
     listTwo();
     planner.seen.clear();
     EXPECT_FALSE(intake.list(
-        ListNews::Whole,
+        EndpointListUpdate::Snapshot,
         json::read(
             R"([{"id":"s-2","host_port":"127.0.0.1:2","locality":"b","phase":"Ready","size":"much"},
                 {"id":"s-1","host_port":"127.0.0.1:1","locality":"a","phase":"Terminating","size":1.5}])")));
     EXPECT_EQ(planner.seen, std::vector<std::string>{"list 1 1"}); // as a change: s-2 is missing, not gone
     EXPECT_EQ(planner.listed.at(0).id, s1);
-    EXPECT_EQ(planner.listed.at(0).state, ListedState::Draining);
-    EXPECT_EQ(counters.of(Count::BadEntry), 1U);
+    EXPECT_EQ(planner.listed.at(0).state, EndpointState::Draining);
+    EXPECT_EQ(counters.of(Counter::BadEntry), 1U);
 }
 
 TEST_F(Desk, TheLateEndOfAnOldStreamIsNoLeaving) {
@@ -345,7 +348,7 @@
     first->ended();
     const std::vector<std::string> wanted{"joined 17 zone 1", "joined 17 zone 1"};
     EXPECT_EQ(planner.seen, wanted);
-    EXPECT_EQ(counters.of(Count::Stale), 1U);
+    EXPECT_EQ(counters.of(Counter::Stale), 1U);
     second->ended();
     EXPECT_EQ(planner.seen.back(), "left 17");
 }
@@ -357,27 +360,27 @@
     Reader reader;
     const auto stream = proxy(reader);
     order([&] {
-        book.setLine(table, s1, 1.5);
-        book.setLine(table, s2, 0.25);
-        book.admit(table, 1, 1e6, FurtherTries::AfterProof);
-        book.admit(table, 2, 1e6, FurtherTries::AfterProof);
-        book.bind({17}, 0, table);
-        book.mark({905}, false);
+        book.setWeight(table, s1, 1.5);
+        book.setWeight(table, s2, 0.25);
+        book.setAdmission(table, 1, 1e6, RetryPolicy::AfterProofOfNoEffect);
+        book.setAdmission(table, 2, 1e6, RetryPolicy::AfterProofOfNoEffect);
+        book.assignTable({17}, 0, table);
+        book.requestBarrier({905}, false);
     });
     EXPECT_EQ(reader.take(), "push replace=1 rows=s-1:1.5,s-2:0.25 part=1\r\n"
                              "push gate=1000000 again=1 stamp=905\r\n");
-    EXPECT_EQ(counters.of(Count::OrderLines), 5U); // replace, two rows, a level, a mark
+    EXPECT_EQ(counters.of(Counter::OrderLines), 5U); // replace, two rows, a level, a mark
     order([&] {
-        EXPECT_TRUE(book.letBack({17}, 99));
-        book.mark({906}, false);
+        EXPECT_TRUE(book.clearStaleExclusions({17}, 99));
+        book.requestBarrier({906}, false);
     });
     EXPECT_EQ(reader.take(), "push undrop=s-1,s-2 stamp=906\r\n");
-    order([&] { EXPECT_FALSE(book.letBack({17}, 99) || book.letBack({3}, 99)); });
+    order([&] { EXPECT_FALSE(book.clearStaleExclusions({17}, 99) || book.clearStaleExclusions({3}, 99)); });
     order([&] {
-        book.setLine(table, s2, 0);
-        book.withdraw(s2, true); // no line of its table names it any more
-        book.admit(table, 2, 0.5, FurtherTries::None);
-        book.mark({907}, false);
+        book.setWeight(table, s2, 0);
+        book.setExcluded(s2, true); // no line of its table names it any more
+        book.setAdmission(table, 2, 0.5, RetryPolicy::Never);
+        book.requestBarrier({907}, false);
     });
     EXPECT_EQ(reader.take(), "push rows=s-2:0 part=1\r\npush for=order gate=0.5 again=0 stamp=907\r\n");
     order([] {});
@@ -388,21 +391,21 @@
     listTwo();
     Reader reader, newer;
     const auto stream = proxy(reader);
-    order([&] { book.withdraw(s2, true), book.mark({1}, false); });
+    order([&] { book.setExcluded(s2, true), book.requestBarrier({1}, false); });
     EXPECT_EQ(reader.take(), "push drop=s-2 stamp=1\r\n");
-    order([&] { book.withdraw(s2, true), book.mark({2}, false); });
+    order([&] { book.setExcluded(s2, true), book.requestBarrier({2}, false); });
     EXPECT_EQ(reader.take(), "");
     const auto next = proxy(newer);
     order([&] {
-        book.setLine(table, s2, 1);
-        book.bind({17}, 3, table);
+        book.setWeight(table, s2, 1);
+        book.assignTable({17}, 3, table);
     });
     EXPECT_EQ(newer.take(), ""); // nothing goes without a mark: only its answer gives the credit back
-    EXPECT_TRUE(book.needsMark());
-    order([&] { book.mark({3}, false); });
-    EXPECT_FALSE(book.needsMark());
+    EXPECT_TRUE(book.needsBarrier());
+    order([&] { book.requestBarrier({3}, false); });
+    EXPECT_FALSE(book.needsBarrier());
     EXPECT_EQ(newer.take(), "push replace=1 rows=s-2:1 drop=s-2 stamp=3\r\n"); // withdrawn by our order still
-    order([&] { book.withdraw(s2, false), book.mark({4}, true); });
+    order([&] { book.setExcluded(s2, false), book.requestBarrier({4}, true); });
     EXPECT_EQ(newer.take(), "push undrop=s-2 stamp=4\r\n");
     EXPECT_EQ(reader.take(), "");
 }
@@ -411,15 +414,17 @@
     listTwo();
     Reader reader;
     const auto stream = proxy(reader);
-    order([&] { book.withdraw(s2, true), book.mark({1}, false); });
+    order([&] { book.setExcluded(s2, true), book.requestBarrier({1}, false); });
     EXPECT_EQ(reader.take(), "push drop=s-2 stamp=1\r\n");
-    order([&] { EXPECT_TRUE(book.forget(s2)); });
-    EXPECT_FALSE(names.server("s-2"));
+    order([&] { EXPECT_TRUE(book.forgetEndpoint(s2)); });
+    EXPECT_FALSE(names.endpoint("s-2"));
     EXPECT_EQ(names.address(s2), "");
-    const ServerId before = s2;
+    const EndpointId before = s2;
     listTwo();
     EXPECT_NE(s2, before);
-    order([&] { book.setLine(table, s2, 1), book.bind({17}, 0, table), book.mark({2}, false); });
+    order([&] {
+        book.setWeight(table, s2, 1), book.assignTable({17}, 0, table), book.requestBarrier({2}, false);
+    });
     EXPECT_EQ(reader.take(),
               "push replace=1 rows=s-2:1 undrop=s-2 stamp=2\r\n"); // its proxy has it shut out still
 }
@@ -428,19 +433,19 @@
     listTwo();
     Reader reader;
     const auto stream = proxy(reader);
-    order([&] { book.setLine(table, s1, 1), book.bind({17}, 0, table); });
+    order([&] { book.setWeight(table, s1, 1), book.assignTable({17}, 0, table); });
     reader.take();
     reader.slow = true;
-    order([&] { book.setLine(table, s2, 1), book.mark({7}, false); });
-    order([&] { book.setLine(table, s1, 0.5), book.mark({8}, false); });
+    order([&] { book.setWeight(table, s2, 1), book.requestBarrier({7}, false); });
+    order([&] { book.setWeight(table, s1, 0.5), book.requestBarrier({8}, false); });
     reader.slow = false;
     order([] {});
     EXPECT_EQ(reader.take(), "push replace=1 rows=s-1:0.5,s-2:1 stamp=8\r\n");
-    EXPECT_EQ(counters.of(Count::Resyncs), 1U);
+    EXPECT_EQ(counters.of(Counter::Resyncs), 1U);
     reader.slow = true; // what it was told in vain is said again, as it stands by then
-    order([&] { book.withdraw(s1, true), book.mark({9}, false); });
-    order([&] { book.withdraw(s2, true), book.mark({10}, false); });
-    order([&] { book.withdraw(s1, false), book.mark({11}, false); });
+    order([&] { book.setExcluded(s1, true), book.requestBarrier({9}, false); });
+    order([&] { book.setExcluded(s2, true), book.requestBarrier({10}, false); });
+    order([&] { book.setExcluded(s1, false), book.requestBarrier({11}, false); });
     reader.slow = false;
     order([] {});
     EXPECT_EQ(reader.take(), "push replace=1 rows=s-1:0.5,s-2:1 drop=s-2 undrop=s-1 stamp=11\r\n");
@@ -451,17 +456,17 @@
     for (int k = 0; k < 12'000; ++k)
         all += std::string(k ? "," : "") + R"({"id":"server-with-a-long-name-to-fill-lines-)" +
                std::to_string(k) + R"(","host_port":"h:1","locality":"a","phase":"Ready"})";
-    ASSERT_TRUE(intake.list(ListNews::Whole, json::read(all + "]")));
+    ASSERT_TRUE(intake.list(EndpointListUpdate::Snapshot, json::read(all + "]")));
     Reader reader;
     const auto stream = proxy(reader);
     order([&] {
-        for (const auto& one : planner.listed) book.setLine(table, one.id, 1);
-        book.bind({17}, 1, table);
-        book.mark({1}, false);
+        for (const auto& one : planner.listed) book.setWeight(table, one.id, 1);
+        book.assignTable({17}, 1, table);
+        book.requestBarrier({1}, false);
     });
-    EXPECT_EQ(counters.of(Count::Parts), 2U);
-    EXPECT_EQ(counters.of(Count::Messages), 1U);
-    EXPECT_EQ(counters.of(Count::OrderLines), 12'002U);
+    EXPECT_EQ(counters.of(Counter::Parts), 2U);
+    EXPECT_EQ(counters.of(Counter::Messages), 1U);
+    EXPECT_EQ(counters.of(Counter::OrderLines), 12'002U);
     EXPECT_EQ(reader.got.find("push for=lookup replace=1 rows="), 0U);
     EXPECT_EQ(reader.got.rfind("replace=1"), reader.got.find("replace=1"));
 }
@@ -485,12 +490,12 @@
 /// A report whose lines came while a batch was about to close was judged in two halves, and all that
 /// followed a period late.
 TEST_F(Desk, ABatchClosesOnceNothingMoreComesNotInTheMiddleOfAReport) {
-    Engine slow(io, planner, book, counters, 200ms);
-    slow.input();
+    BatchRunner slow(io, planner, book, counters, 200ms);
+    slow.openBatch();
     boost::asio::steady_timer second(io, 300ms);
     second.async_wait([&](boost::system::error_code) {
         EXPECT_EQ(planner.decided, 0);
-        slow.input();
+        slow.openBatch();
     });
     boost::asio::steady_timer early(io, 500ms); // past what a batch of one input takes
     early.async_wait([&](boost::system::error_code) { EXPECT_EQ(planner.decided, 0); });
@@ -500,10 +505,10 @@
 
 struct Watch : testing::Test {
     Counters counters;
-    std::vector<std::pair<ListNews, std::size_t>> told;
+    std::vector<std::pair<EndpointListUpdate, std::size_t>> told;
     bool usable = true;
     DiscoveryWatch watch{"h:1",
-                         [this](ListNews news, const json::Value& members) {
+                         [this](EndpointListUpdate news, const json::Value& members) {
                              told.emplace_back(news, members.size());
                              return usable;
                          },
@@ -524,7 +529,8 @@
     EXPECT_EQ(watch.feed(answer(R"({"revision":41,"complete":false,"members":[]})")), kWatchCall);
     EXPECT_NE(watch.feed(answer(R"({"revision":43,"complete":false,"members":[{},{}]})")).find("index=43"),
               std::string::npos);
-    const std::vector<std::pair<ListNews, std::size_t>> wanted{{ListNews::Whole, 1}, {ListNews::Changes, 2}};
+    const std::vector<std::pair<EndpointListUpdate, std::size_t>> wanted{{EndpointListUpdate::Snapshot, 1},
+                                                                         {EndpointListUpdate::Delta, 2}};
     EXPECT_EQ(told, wanted);
     watch.lost(); // what it knows is asked on from there
     EXPECT_NE(watch.connected().find("index=43"), std::string::npos);
@@ -538,7 +544,7 @@
         EXPECT_EQ(watch.feed(bad), "");
         EXPECT_FALSE(watch.usable());
     }
-    EXPECT_EQ(counters.of(Count::ListsWhole), 0U);
+    EXPECT_EQ(counters.of(Counter::ListsWhole), 0U);
     watch.connected();
     watch.feed(answer(kWhole));
     usable = false;
@@ -582,8 +588,8 @@
 
     /// The result of a probe that the stand-in answers with `text`, or closes on where there is none.
     ProbeResult probe(std::string text) {
-        const ServerId id = names.listed("s-1");
-        names.moved(id, "127.0.0.1:" + std::to_string(server.local_endpoint().port()));
+        const EndpointId id = names.registerEndpoint("s-1");
+        names.setAddress(id, "127.0.0.1:" + std::to_string(server.local_endpoint().port()));
         boost::asio::ip::tcp::socket peer(io);
         boost::asio::streambuf asked;
         server.async_accept(peer, [&](boost::system::error_code) {
@@ -602,21 +608,22 @@
     const auto good =
         probe("HTTP/1.1 200 OK\r\nContent-Length: 33\r\n\r\nTEXT inflight=7, queue=2, util=.5\n");
     EXPECT_EQ(good.status, ProbeStatus::Answered);
-    EXPECT_EQ(good.report.held, 7);
-    EXPECT_EQ(good.report.waiting, 2);
-    EXPECT_EQ(good.report.busyShare, 0.5);
+    EXPECT_EQ(good.load.inFlight, 7);
+    EXPECT_EQ(good.load.queueLength, 2);
+    EXPECT_EQ(good.load.utilization, 0.5);
     EXPECT_EQ(probe("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n").status, ProbeStatus::Error);
-    EXPECT_EQ(probe("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nTEXT").status, ProbeStatus::Broken);
-    EXPECT_EQ(probe("").status, ProbeStatus::Broken);
+    EXPECT_EQ(probe("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nTEXT").status, ProbeStatus::ProtocolError);
+    EXPECT_EQ(probe("").status, ProbeStatus::ProtocolError);
     EXPECT_EQ(probe("silent").status, ProbeStatus::TimedOut);
     server.close();
-    prober.probe(names.listed("s-1"));
+    prober.probe(names.registerEndpoint("s-1"));
     settle();
     EXPECT_EQ(planner.results.back().status, ProbeStatus::Unreachable);
 }
 
 TEST_F(Probing, AResultNeverComesInsideTheDecisionThatAskedForIt) {
-    const ServerId nowhere = names.listed("s-9"); // its address can't be read, so the result is known at once
+    const EndpointId nowhere =
+        names.registerEndpoint("s-9"); // its address can't be read, so the result is known at once
     order([&] {
         prober.probe(nowhere);
         EXPECT_TRUE(planner.results.empty());
@@ -635,20 +642,20 @@
     while (planner.seen.empty() && io.run_one_for(10s)) {}
     EXPECT_EQ(planner.seen, std::vector<std::string>{"joined 17 zone 1 fresh"});
     EXPECT_LT(std::chrono::steady_clock::now() - start, 900ms); // not the time to join of one after the other
-    EXPECT_GE(counters.of(Count::RefusedStranger), 3U);
+    EXPECT_GE(counters.of(Counter::RefusedStranger), 3U);
 }
 
 /// Peers that say nothing, half of something or no more than a probe held their connections for good.
 TEST_F(Desk, WhoDoesNotJoinInTimeIsToldSoAndClosedAndWhoHasJoinedStays) {
     using boost::asio::ip::tcp;
     const auto listener = listenFor(9);
-    door.serve();
+    door.startServing();
     std::vector<tcp::socket> peers;
     for (const auto text : {""sv, "hello proxy=1"sv, "probe\r\n"sv, "agent zone=a\r\n"sv}) {
         peers.emplace_back(io).connect(listener->address());
         boost::asio::write(peers.back(), boost::asio::buffer(text));
     }
-    while (counters.of(Count::Closed) < 3 && io.run_one_for(10s)) {}
+    while (counters.of(Counter::Closed) < 3 && io.run_one_for(10s)) {}
     for (const int k : {0, 1, 2}) {
         std::string got;
         boost::system::error_code error;
@@ -656,7 +663,7 @@
         EXPECT_EQ(got.substr(k == 2 ? 7 : 0, 6), "error ") << got;
     }
     io.run_for(50ms);
-    EXPECT_EQ(counters.of(Count::Closed), 3U);
+    EXPECT_EQ(counters.of(Counter::Closed), 3U);
     EXPECT_EQ(peers[3].available(), 0U);
 }
 
@@ -705,8 +712,10 @@
     Reader collectorEnd, proxyEnd;
     const auto collector = session(collectorEnd), stream = proxy(proxyEnd);
     collector->feed("agent zone=a\r\n");
-    order([&] { book.setLine(table, s1, 1), book.bind({17}, 0, table), book.mark({904}, false); });
-    order([&] { book.setLine(table, s2, 1), book.mark({905}, false); });
+    order([&] {
+        book.setWeight(table, s1, 1), book.assignTable({17}, 0, table), book.requestBarrier({904}, false);
+    });
+    order([&] { book.setWeight(table, s2, 1), book.requestBarrier({905}, false); });
     planner.seen.clear();
     const std::string_view sound[] = {"outcomes", "zone=a",    "server=s-1", "tries=9",
                                       "failed=3", "mean_ms=4", "span_ms=10", "load=q:1"};
@@ -731,20 +740,20 @@
     planner.seen.clear();
     stream->feed("ack proxy=17 mark=905 took_ms=1\r\nack proxy=17 mark=904 took_ms=1\r\n");
     EXPECT_EQ(planner.seen, std::vector<std::string>{"applied 905"}); // the later one stands for both
-    EXPECT_EQ(counters.of(Count::BadMark), 2U);
+    EXPECT_EQ(counters.of(Counter::BadMark), 2U);
 }
 
 /// With 256 descriptors half of them were kept from peers, though all proxies may come to one planner.
 TEST(Limits, EveryProxyAndCollectorHasAPlaceAndMemoryIsBounded) {
     for (const std::size_t sockets : {256U, 512U, 1024U})
         for (const std::size_t memory : {32U, 48U, 192U}) {
-            const Shares shares = splitLimits(sockets, memory, 200, 3);
+            const ResourceBudget shares = divideLimits(sockets, memory, 200, 3);
             EXPECT_GE(shares.peers, 203U + 16U);
             EXPECT_GE(shares.probes, 4U);
             EXPECT_LT(shares.peers + shares.probes, sockets - 12);
             EXPECT_LE((shares.lineBlocks + shares.pushBlocks) * kBlockBytes, memory * 1024 * 1024 / 2);
         }
-    EXPECT_GE(splitLimits(16, 1, 200, 3).peers, 1U);
+    EXPECT_GE(divideLimits(16, 1, 200, 3).peers, 1U);
 }
 
 } // namespace
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -3,7 +3,7 @@
 #include <rapidcheck.h>
 
 #include "planner/state.h"
-#include "world.h"
+#include "proxy_model.h"
 
 namespace zincstack::tests {
 namespace {
@@ -38,8 +38,9 @@
         World world;
         world.forgets = *rc::gen::element(false, true);
         world.tellsOnce = *rc::gen::element(false, true);
-        world.channel.messagesMost = *rc::gen::element(0U, 30U);
-        world.forwarders.throttle = *rc::gen::element(Throttle::Share, Throttle::Rate, Throttle::None);
+        world.channel.maxMessagesPerProxy = *rc::gen::element(0U, 30U);
+        world.forwarders.throttleMode =
+            *rc::gen::element(ThrottleMode::Fraction, ThrottleMode::Rate, ThrottleMode::None);
         for (std::uint64_t s = 0; s < 12; ++s) world.server(s, 1 + static_cast<double>(s % 3), s % 2);
         world.start(*rc::gen::inRange<std::uint64_t>(0, 1000));
         for (std::uint16_t p = 0; p < 8; ++p) world.join(p, p % 2, 5 + p, {{p}, {p + 1U}, {p + 2U}});
@@ -47,9 +48,9 @@
             const double share = percent / 100.0;
             const auto sick = [share, one = who](std::uint64_t id) { return id % 12 == one ? 1.0 : share; };
             switch (kind) {
-            case 0: world.news(who, ListedState::Draining); break;
-            case 1: world.news(who, ListedState::Gone); break;
-            case 2: world.news(who, ListedState::Ready, world.now - 500ms); break;
+            case 0: world.news(who, EndpointState::Draining); break;
+            case 1: world.news(who, EndpointState::Removed); break;
+            case 2: world.news(who, EndpointState::Ready, world.now - 500ms); break;
             case 4: world.leave(who); break;
             case 5: world.join(who, who % 2, 100 * share, {{who}, {who + 1U}}); break;
             case 7: world.sums(20, sick); break;
@@ -68,18 +69,18 @@
 /// A deploy in batches and a mass reconnect at full size.
 auto playLargeDay(World& world) {
     world.channel = {7000, 6, 20000, 0, 10s, 200ms, 500ms};
-    world.guards.drainGrace = 4s, world.guards.bareMost = 5s;
+    world.guards.drainGracePeriod = 4s, world.guards.maxTimeWithoutEndpoint = 5s;
     for (std::uint64_t s = 0; s < 200; ++s) world.server(s, 1, s % 2);
     world.start();
     for (std::uint16_t p = 0; p < 200; ++p)
         world.join(p, p % 2, 5, {{p}, {(p + 7U) % 200}, {(p + 50U) % 200}});
     for (std::uint64_t batch = 0; batch < 4; ++batch) {
-        for (std::uint64_t s = 0; s < 30; ++s) world.news(batch * 30 + s, ListedState::Draining);
+        for (std::uint64_t s = 0; s < 30; ++s) world.news(batch * 30 + s, EndpointState::Draining);
         world.pass(3s);
         for (std::uint64_t s = 0; s < 30; ++s)
-            world.news(1000 + batch * 30 + s, ListedState::Ready, world.now);
+            world.news(1000 + batch * 30 + s, EndpointState::Ready, world.now);
         for (std::uint16_t p = 0; batch == 2 && p < 150; ++p) {
-            std::set<ServerId> keeps; // the whole table that it has: some of it ends while it is away
+            std::set<EndpointId> keeps; // the whole table that it has: some of it ends while it is away
             for (const auto& [server, weight] : world.proxies[{p}].lines) keeps.insert(server);
             world.join(p, p % 2, 5, keeps.empty() ? world.proxies[{p}].standing : keeps);
         }
@@ -98,11 +99,11 @@
 
 TEST(Rounds, OnlyDifferencesAreSentAndAddAndRemoveCancel) {
     const auto world = settled(6);
-    world->news(9, ListedState::Ready, 0us);
-    world->news(9, ListedState::Gone);
-    world->news(3, ListedState::Draining);
+    world->news(9, EndpointState::Ready, 0us);
+    world->news(9, EndpointState::Removed);
+    world->news(3, EndpointState::Draining);
     world->pass(4s);
-    for (const auto& line : world->lines) EXPECT_EQ(line.first, ServerId{3});
+    for (const auto& line : world->lines) EXPECT_EQ(line.first, EndpointId{3});
     EXPECT_EQ(weightOf(*world, 3), 0);
     EXPECT_TRUE(world->withdrawn.contains({3}));
 }
@@ -111,19 +112,19 @@
 TEST(Rounds, WhatEndedLongAgoIsForgottenAndItsPlaceServesAnother) {
     const auto world = settled(4);
     world->forgets = true;
-    world->news(3, ListedState::Gone);
+    world->news(3, EndpointState::Removed);
     world->pass(20s);
     EXPECT_TRUE(world->withdrawn.contains({3})); // an old table may name it still
     world->pass(15s);
     EXPECT_FALSE(world->withdrawn.contains({3}));
-    world->news(9, ListedState::Ready, 0us);
+    world->news(9, EndpointState::Ready, 0us);
     world->batch([&] { // late news of the one before is not the new one's
-        world->planner->sums({{3}, {0}, 100, 100, 0us, 1s, {}});
-        world->planner->probed({{3}, ProbeStatus::Unreachable, 0us, {}});
+        world->planner->reportLoad({{3}, {0}, 100, 100, 0us, 1s, {}});
+        world->planner->probeCompleted({{3}, ProbeStatus::Unreachable, 0us, {}});
     });
     for (int k = 0; k < 10; ++k) world->sums(20, well), world->pass(1s);
     EXPECT_EQ(weightOf(*world, 9), 1);
-    world->news(3, ListedState::Ready);
+    world->news(3, EndpointState::Ready);
     for (int k = 0; k < 10; ++k) world->sums(20, well), world->pass(1s);
     EXPECT_EQ(weightOf(*world, 3), 1);
     EXPECT_EQ(world->tables[{0}].size(), 5U);
@@ -133,7 +134,7 @@
 
 TEST(Rounds, ANewServerRisesByFifthsAndNoFasterThanItWarms) {
     const auto world = settled(6);
-    world->news(9, ListedState::Ready, world->now);
+    world->news(9, EndpointState::Ready, world->now);
     world->pass(1s);
     EXPECT_DOUBLE_EQ(weightOf(*world, 9), 0.2);
     double before = 0.2;
@@ -149,7 +150,7 @@
 
 TEST(Rounds, AnUnknownServerClimbsOnlyOnceItHasAnswered) {
     const auto world = settled(6);
-    world->news(9, ListedState::Ready, 0us);
+    world->news(9, EndpointState::Ready, 0us);
     world->pass(4s);
     EXPECT_DOUBLE_EQ(weightOf(*world, 9), 0.2);
     world->sums(20, well);
@@ -159,13 +160,13 @@
 
 TEST(Rounds, AColdServerIsLoweredUnderStressUnlessItIsTheLast) {
     const auto world = settled(3);
-    world->news(9, ListedState::Ready, world->now);
+    world->news(9, EndpointState::Ready, world->now);
     world->pass(2s);
     EXPECT_GT(weightOf(*world, 9), 0);
     world->sums(20, [](auto) { return 0.5; });
     world->pass(500ms);
     EXPECT_EQ(weightOf(*world, 9), 0);
-    for (std::uint64_t s = 1; s <= 3; ++s) world->news(s, ListedState::Draining);
+    for (std::uint64_t s = 1; s <= 3; ++s) world->news(s, EndpointState::Draining);
     world->pass(500ms);
     EXPECT_DOUBLE_EQ(weightOf(*world, 9), 0.2);
 }
@@ -173,7 +174,7 @@
 TEST(Rounds, ADeadlockMovesSlowedForOneRound) {
     const auto world = settled(4);
     world->server(9, 60); // nothing is heard of it, so it counts as average: no table's line for it fits
-    world->news(9, ListedState::Ready);
+    world->news(9, EndpointState::Ready);
     world->pass(800ms);
     EXPECT_LT(world->levels.back().second, 1);
     EXPECT_EQ(weightOf(*world, 9), 12);
@@ -186,11 +187,11 @@
     World world;
     for (std::uint64_t s = 1; s <= 4; ++s) world.server(s);
     world.start();
-    world.channel.messagesMost = 0;
-    world.planner->begin(world.now);
+    world.channel.maxMessagesPerProxy = 0;
+    world.planner->beginBatch(world.now);
     for (std::uint16_t p = 0; p < 3; ++p) {
         world.proxies[{p}].joinedAt = world.now;
-        world.planner->joined({p}, {0}, 1.0 + p, true);
+        world.planner->proxyJoined({p}, {0}, 1.0 + p, true);
     }
     world.pass(500ms);
     ASSERT_EQ(world.binds.size(), 3U);
@@ -199,7 +200,7 @@
 
 TEST(Joiners, OwnZoneProductsGetATableOfTheirZone) {
     World world;
-    world.products[1].ownZoneOnly = true;
+    world.products[1].zoneLocal = true;
     for (std::uint64_t s = 1; s <= 4; ++s) world.server(s, 1, s % 2);
     world.start();
     world.join(1, 1, 10, {{1}});
@@ -211,12 +212,12 @@
 
 TEST(Health, AServerThatOnlyTheListDeniesStaysWhileProbesFindIt) {
     World world;
-    world.guards.goneBinds = false;
+    world.guards.removalIsBinding = false;
     for (std::uint64_t s = 1; s <= 4; ++s) world.server(s);
     world.start();
     world.join(1, 0, 10, {{1}});
     for (const auto status : {ProbeStatus::Answered, ProbeStatus::Unreachable}) {
-        world.news(3, ListedState::Gone);
+        world.news(3, EndpointState::Removed);
         world.pass(1s);
         world.answerProbes(status);
         world.pass(1s);
@@ -242,9 +243,9 @@
 TEST(Health, NoServerIsSilentBeforeWholeViewsHaveCome) {
     const auto world = settled(40);
     for (std::uint64_t k = 0; k < 8; ++k) { // reports pile up: a view takes four periods
-        world->planner->begin(world->now);
+        world->planner->beginBatch(world->now);
         for (std::uint64_t s = 1 + k % 4 * 10; s <= 10 + k % 4 * 10; ++s)
-            world->planner->sums({{s}, {0}, 40, 0, 200ms, 4s, {}});
+            world->planner->reportLoad({{s}, {0}, 40, 0, 200ms, 4s, {}});
         world->planner->decide();
         world->pass(1s);
     }
@@ -254,7 +255,7 @@
 TEST(Health, AConfirmedServerIsShutOutAndComesBackByFifths) {
     const auto world = settled(6);
     world->sums(20, [](auto id) { return id == 2 ? 0.8 : 0.0; });
-    EXPECT_EQ(world->probes, std::vector<ServerId>{{2}});
+    EXPECT_EQ(world->probes, std::vector<EndpointId>{{2}});
     world->answerProbes(ProbeStatus::Unreachable);
     world->pass(500ms);
     EXPECT_TRUE(world->withdrawn.contains({2}));
--- a/tests/world.h
+++ b/tests/proxy_model.h
@@ -17,37 +17,42 @@
 
 using namespace std::chrono_literals;
 
-struct World : OrderSink {
+struct World : RoutingUpdateSink {
     struct Held;
     struct Message {
         ProxyId proxy;
         double lines = 0;
         std::vector<std::function<void(Held&)>> told = {};
-        MarkId mark{};
+        BarrierId mark{};
         Micros due{};
     };
     struct Held { // by a joined proxy, as it has applied it
         ZoneId zone{};
         Micros joinedAt{}, bareSince{-1};
-        std::set<ServerId> standing = {};
+        std::set<EndpointId> standing = {};
         bool bound = false;
-        std::map<ServerId, double> lines = {};
-        std::set<ServerId> out = {};
-        std::map<ServerId, bool> said = {}; // of withdrawals, on this stream
+        std::map<EndpointId, double> lines = {};
+        std::set<EndpointId> out = {};
+        std::map<EndpointId, bool> said = {}; // of withdrawals, on this stream
         std::deque<Micros> written = {};
     };
     struct Known {
-        ListedServer entry;
+        EndpointUpdate entry;
         Micros startToldAt{-1h}, endToldAt{-1};
     };
 
-    FleetTerms fleet{.zones = 2, .planners = 2, .weightsListed = true, .mayProbe = true, .sumsPeriod = 1s};
-    ForwarderTerms forwarders{.count = 8, .standingLines = 3, .throttle = Throttle::Share};
-    ChannelTerms channel{4000, 6, 4000, 30, 10s, 200ms, 500ms};
-    GuardTerms guards{3s, 2s, 0.2, 16s, 4, 3s};
-    std::vector<ProductTerms> products{{1s, 3s, 3, .1, Repeatable::InquiryLike, false, false},
-                                       {1s, 3s, 2, .1, Repeatable::Referenced, false, true},
-                                       {1s, 3s, 4, .1, Repeatable::OnceOnly, false, true}};
+    FleetConfig fleet{.zoneCount = 2,
+                      .plannerCount = 2,
+                      .hasEndpointWeights = true,
+                      .probingAllowed = true,
+                      .reportInterval = 1s};
+    ProxyFleetConfig forwarders{
+        .proxyCount = 8, .bootstrapTableSize = 3, .throttleMode = ThrottleMode::Fraction};
+    ControlChannelLimits channel{4000, 6, 4000, 30, 10s, 200ms, 500ms};
+    SafetyLimits guards{3s, 2s, 0.2, 16s, 4, 3s};
+    std::vector<RequestClassConfig> products{{1s, 3s, 3, .1, Idempotency::Idempotent, false, false},
+                                             {1s, 3s, 2, .1, Idempotency::IdempotencyKeyed, false, true},
+                                             {1s, 3s, 4, .1, Idempotency::NonIdempotent, false, true}};
 
     std::unique_ptr<Planner> planner;
     Micros now{100s}, wakeAt{-1};
@@ -55,28 +60,28 @@
     bool forgets = false;    // as the front on sockets does
     bool tellsOnce = false;  // so too: what a stream was told is not said again
     bool checksRules = true; // false: for days that are only recorded, which take less time then
-    std::map<ServerId, Known> known;
+    std::map<EndpointId, Known> known;
     std::map<ProxyId, Held> proxies;
     std::map<ProxyId, TableId> assigned;
-    std::map<TableId, std::map<ServerId, double>> tables;
-    std::map<TableId, std::set<ProductSet>> levelled;
-    std::set<ServerId> withdrawn;
+    std::map<TableId, std::map<EndpointId, double>> tables;
+    std::map<TableId, std::set<RequestClassSet>> levelled;
+    std::set<EndpointId> withdrawn;
     std::map<ProxyId, Message> open;
     std::deque<Message> queue, flight;
     double progress = 0;
-    std::vector<ServerId> probes;
-    std::vector<std::pair<ServerId, double>> lines; // orders since the last clear(), for plain cases
+    std::vector<EndpointId> probes;
+    std::vector<std::pair<EndpointId, double>> lines; // orders since the last clear(), for plain cases
     std::vector<std::pair<ProxyId, TableId>> binds;
-    std::vector<std::pair<ProductSet, double>> levels;
+    std::vector<std::pair<RequestClassSet, double>> levels;
     std::vector<std::string> logs, broken;
 
     void start(std::uint64_t seed = 7) {
         tables = {}, levelled = {}, withdrawn = {}, assigned = {}, queue = {}, open = {}, wakeAt = -1us;
         planner = makePlanner(seed, fleet, forwarders, channel, guards, products, *this);
-        std::vector<ListedServer> all;
+        std::vector<EndpointUpdate> all;
         for (auto& [id, one] : known)
-            if (one.entry.state != ListedState::Gone) all.push_back(one.entry);
-        batch([&] { planner->list(ListNews::Cached, all); });
+            if (one.entry.state != EndpointState::Removed) all.push_back(one.entry);
+        batch([&] { planner->updateEndpoints(EndpointListUpdate::Cached, all); });
     }
     /// The planner is killed and starts over; its proxies come back with what they hold.
     void restart(std::uint64_t seed) {
@@ -84,7 +89,7 @@
         flight.clear();
         start(seed);
         for (const auto& [id, old] : before) {
-            std::set<ServerId> keeps = old.standing;
+            std::set<EndpointId> keeps = old.standing;
             for (const auto& [server, weight] : old.lines) keeps.insert(server);
             join(id.value, old.zone.value, 10, keeps);
             proxies[id].out = old.out;
@@ -92,32 +97,32 @@
     }
     /// One batch: an input, then the decisions.
     void batch(const auto& input) {
-        planner->begin(now);
+        planner->beginBatch(now);
         input();
         finish();
     }
-    ListedServer& server(std::uint64_t id, double weight = 1, std::uint8_t zone = 0) {
-        ListedServer& entry = known[{id}].entry;
-        entry = {{id}, ListedState::Ready, 0us, weight, {0}, {zone}};
+    EndpointUpdate& server(std::uint64_t id, double weight = 1, std::uint8_t zone = 0) {
+        EndpointUpdate& entry = known[{id}].entry;
+        entry = {{id}, EndpointState::Ready, 0us, weight, {0}, {zone}};
         return entry;
     }
     /// The list says something of one server.
-    void news(std::uint64_t id, ListedState state, Micros startedAt = -1us) {
+    void news(std::uint64_t id, EndpointState state, Micros startedAt = -1us) {
         Known& one = known[{id}];
         one.entry.id = {id};
         if (startedAt >= 0us) one.entry.startedAt = startedAt, one.startToldAt = now;
-        if (state == ListedState::Ready) one.endToldAt = -1us;
-        if (state != ListedState::Ready && one.endToldAt < 0us) one.endToldAt = now;
+        if (state == EndpointState::Ready) one.endToldAt = -1us;
+        if (state != EndpointState::Ready && one.endToldAt < 0us) one.endToldAt = now;
         one.entry.state = state;
-        batch([&] { planner->list(ListNews::Changes, std::span(&one.entry, 1)); });
+        batch([&] { planner->updateEndpoints(EndpointListUpdate::Delta, std::span(&one.entry, 1)); });
     }
-    void join(std::uint16_t id, std::uint8_t zone, double rate, std::set<ServerId> standing) {
+    void join(std::uint16_t id, std::uint8_t zone, double rate, std::set<EndpointId> standing) {
         leave(id);
         Held& held = proxies[{id}];
         held.zone = {zone};
         held.joinedAt = now;
         held.standing = std::move(standing);
-        batch([&] { planner->joined({id}, {zone}, rate, proxies[{id}].standing.size() <= 6); });
+        batch([&] { planner->proxyJoined({id}, {zone}, rate, proxies[{id}].standing.size() <= 6); });
     }
     void leave(std::uint16_t id) {
         if (!proxies.erase({id})) return;
@@ -125,26 +130,26 @@
         const auto lost = [&](const Message& one) { return one.proxy == ProxyId{id}; };
         std::erase_if(queue, lost);
         std::erase_if(flight, lost);
-        batch([&] { planner->left({id}); });
+        batch([&] { planner->proxyLeft({id}); });
     }
     /// A period's sums: every served server gets `tries`, of which the share `failed(server)` fails.
     void sums(
         std::uint32_t tries, const auto& failed,
         const std::function<Micros(std::uint64_t)>& delay = [](auto) { return 200ms; }) {
-        planner->begin(now);
+        planner->beginBatch(now);
         for (auto& [id, one] : known) {
-            if (one.entry.state != ListedState::Ready || withdrawn.contains(id)) continue;
+            if (one.entry.state != EndpointState::Ready || withdrawn.contains(id)) continue;
             const auto bad = static_cast<std::uint32_t>(tries * failed(id.value));
-            planner->sums({id, {0}, tries, bad, bad == tries ? 0us : delay(id.value), 1s, {}});
+            planner->reportLoad({id, {0}, tries, bad, bad == tries ? 0us : delay(id.value), 1s, {}});
         }
         for (auto& [id, held] : proxies)
-            for (std::uint16_t p = 0; p < products.size(); ++p) planner->usage({id, {p}, 10, 0, 1s});
+            for (std::uint16_t p = 0; p < products.size(); ++p) planner->reportDemand({id, {p}, 10, 0, 1s});
         finish();
     }
     void answerProbes(ProbeStatus status, Micros delay = 5ms) {
         const auto asked = std::exchange(probes, {});
         batch([&] {
-            for (const auto id : asked) planner->probed({id, status, delay, {}});
+            for (const auto id : asked) planner->probeCompleted({id, status, delay, {}});
         });
     }
     void pass(Micros span) {
@@ -157,26 +162,26 @@
         while (!queue.empty() && queue.front().lines <= progress) {
             progress -= queue.front().lines;
             flight.push_back(std::move(queue.front()));
-            flight.back().due = now + channel.meanTransit;
+            flight.back().due = now + channel.meanTransitTime;
             queue.pop_front();
         }
         if (queue.empty()) progress = 0;
-        planner->begin(now);
+        planner->beginBatch(now);
         while (!flight.empty() && flight.front().due <= now) {
             apply(flight.front());
             flight.pop_front();
         }
-        if (wakeAt >= 0us && wakeAt <= now) wakeAt = -1us, planner->woken();
+        if (wakeAt >= 0us && wakeAt <= now) wakeAt = -1us, planner->timerExpired();
         finish();
         if (checksRules) check();
     }
 
     // -- orders --
-    void setLine(TableId table, ServerId server, double weight) override {
+    void setWeight(TableId table, EndpointId server, double weight) override {
         expect(weight >= 0, "a weight below 0");
         lines.emplace_back(server, weight);
         const bool back = forgets && weight > 0 && !withdrawn.contains(server);
-        const auto put = [=](std::map<ServerId, double>& at) {
+        const auto put = [=](std::map<EndpointId, double>& at) {
             at[server] = weight;
             if (weight <= 0) at.erase(server);
         };
@@ -188,7 +193,7 @@
                     if (back) at.out.erase(server);
                 });
     }
-    void bind(ProxyId proxy, ProductSet, TableId table) override {
+    void assignTable(ProxyId proxy, RequestClassSet, TableId table) override {
         expect(proxies.contains(proxy), "bound a proxy that has not joined");
         binds.emplace_back(proxy, table);
         assigned[proxy] = table;
@@ -200,8 +205,8 @@
             at.out = out;
         });
     }
-    void withdraw(ServerId server, bool out) override {
-        const auto turn = [=](std::set<ServerId>& set) {
+    void setExcluded(EndpointId server, bool out) override {
+        const auto turn = [=](std::set<EndpointId>& set) {
             out ? (void)set.insert(server) : (void)set.erase(server);
         };
         turn(withdrawn);
@@ -213,33 +218,34 @@
                      fresh || said->second != out || !tellsOnce)
                 said->second = out, tell(id, 1, [=](Held& at) { turn(at.out); });
     }
-    void admit(std::optional<TableId> table, ProductSet mask, double level, FurtherTries tries) override {
+    void setAdmission(std::optional<TableId> table, RequestClassSet mask, double level,
+                      RetryPolicy tries) override {
         expect(level >= 0, "a level below 0");
         for (std::size_t p = 0; p < products.size(); ++p)
-            expect(!(mask >> p & 1U) || tries <= FurtherTries::AfterProof ||
-                       products[p].repeatable == Repeatable::InquiryLike,
+            expect(!(mask >> p & 1U) || tries <= RetryPolicy::AfterProofOfNoEffect ||
+                       products[p].idempotency == Idempotency::Idempotent,
                    "no effect twice: a product that must not run twice may be sent again");
         levels.emplace_back(mask, level);
         if (table) levelled[*table].insert(mask);
         for (auto& [id, held] : proxies)
             if (!table || (assigned.contains(id) && assigned[id] == *table)) tell(id, 1, [](Held&) {});
     }
-    bool letBack(ProxyId proxy, std::size_t) override {
+    bool clearStaleExclusions(ProxyId proxy, std::size_t) override {
         if (!tellsOnce || tables[assigned[proxy]].empty()) return false;
         tell(proxy, static_cast<double>(tables[assigned[proxy]].size()), [](Held&) {});
         return true;
     }
-    void mark(MarkId number, bool) override {
+    void requestBarrier(BarrierId number, bool) override {
         for (auto& [id, message] : open) message.mark = number, message.lines += 1;
     }
-    void probe(ServerId server) override { probes.push_back(server); }
-    void followList() override {}
-    void wakeAfter(Micros span) override {
+    void probe(EndpointId server) override { probes.push_back(server); }
+    void subscribeToEndpoints() override {}
+    void scheduleWakeUp(Micros span) override {
         expect(wakeAt < 0us && span > 0us, "a wake-up beside another, or in the past");
         wakeAt = now + span;
     }
     void log(std::string_view line) override { logs.emplace_back(line); }
-    bool forget(ServerId server) override {
+    bool forgetEndpoint(EndpointId server) override {
         if (forgets) withdrawn.erase(server);
         return forgets;
     }
@@ -257,49 +263,50 @@
         open.clear();
     }
     void tell(ProxyId proxy, double cost, std::function<void(Held&)> what) {
-        auto& message = open.try_emplace(proxy, Message{proxy, channel.headLines}).first->second;
+        auto& message = open.try_emplace(proxy, Message{proxy, channel.messageOverheadLines}).first->second;
         message.told.push_back(std::move(what));
         message.lines += cost;
     }
     void apply(const Message& message) {
         for (const auto& what : message.told) what(proxies[message.proxy]);
-        planner->applied(message.proxy, message.mark);
+        planner->barrierAcknowledged(message.proxy, message.mark);
     }
-    bool picks(const Held& held, ServerId id) const {
+    bool picks(const Held& held, EndpointId id) const {
         return !held.out.contains(id) && (held.bound ? held.lines.contains(id) : held.standing.contains(id));
     }
     void check() {
         const Micros slack = 250ms; // of this model: its tick and the time that a message needs
         bool warm = false;
         for (const auto& [id, one] : known)
-            warm |= one.entry.state == ListedState::Ready && now - one.entry.startedAt >= guards.coldSpan;
+            warm |=
+                one.entry.state == EndpointState::Ready && now - one.entry.startedAt >= guards.warmUpDuration;
         double waiting = 0;
         for (const auto& message : queue) waiting += message.lines;
-        expect(waiting <= channel.queueMost, "short queue: too many lines wait");
+        expect(waiting <= channel.maxQueuedLines, "short queue: too many lines wait");
         for (auto& [id, held] : proxies) {
             bool bare = true;
             for (const auto& [server, one] : known) {
                 if (!picks(held, server)) continue;
                 bare = false;
                 const auto since = std::max(one.endToldAt, held.joinedAt);
-                expect(one.endToldAt < 0us || now - since <= slow * guards.drainGrace + slack,
+                expect(one.endToldAt < 0us || now - since <= slow * guards.drainGracePeriod + slack,
                        "drains kept: a proxy still sends to a server that drains or is gone");
                 const auto age = static_cast<double>((now - one.entry.startedAt).count());
-                const double part = std::min(age / static_cast<double>(guards.coldSpan.count()), 1.0);
-                const double warmed = guards.coldShare + (1 - guards.coldShare) * part;
+                const double part = std::min(age / static_cast<double>(guards.warmUpDuration.count()), 1.0);
+                const double warmed = guards.coldCapacityFraction + (1 - guards.coldCapacityFraction) * part;
                 const bool told =
-                    now - std::max(one.startToldAt, held.joinedAt) > slow * guards.drainGrace + slack;
+                    now - std::max(one.startToldAt, held.joinedAt) > slow * guards.drainGracePeriod + slack;
                 expect(!held.bound || !told ||
-                           held.lines.at(server) <= one.entry.weight * guards.fallMultiple * warmed,
+                           held.lines.at(server) <= one.entry.weight * guards.overloadFactor * warmed,
                        "no cold server pushed over: its weight is above the multiple of what it can do");
             }
             if (!bare || !warm) held.bareSince = -1us;
             if (bare && warm && held.bareSince < 0us) held.bareSince = now;
-            expect(held.bareSince < 0us || now - held.bareSince <= slow * guards.bareMost,
+            expect(held.bareSince < 0us || now - held.bareSince <= slow * guards.maxTimeWithoutEndpoint,
                    "nobody without a server: a proxy has no line to pick");
-            while (!held.written.empty() && now - held.written.front() > channel.messagesOver)
+            while (!held.written.empty() && now - held.written.front() > channel.messageWindow)
                 held.written.pop_front();
-            expect(!channel.messagesMost || held.written.size() <= channel.messagesMost,
+            expect(!channel.maxMessagesPerProxy || held.written.size() <= channel.maxMessagesPerProxy,
                    "short queue: too many messages to one proxy");
         }
     }
--- a/tests/yard.h
+++ b/tests/pubsub_harness.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "client/subscription.h"
-#include "pubsub/hub.h"
+#include "pubsub/subscription_server.h"
 
 namespace zincstack::tests {
 
@@ -23,27 +23,28 @@
 struct SmallPlanner : Planner {
     std::map<ProxyId, ZoneId> unbound;
     std::set<ProxyId> in;
-    std::vector<MarkId> applications;
+    std::vector<BarrierId> applications;
     std::vector<std::string> seen;
-    void begin(Micros) override {}
-    void list(ListNews, std::span<const ListedServer>) override {}
-    void joined(ProxyId proxy, ZoneId zone, double, bool fresh) override {
+    void beginBatch(Micros) override {}
+    void updateEndpoints(EndpointListUpdate, std::span<const EndpointUpdate>) override {}
+    void proxyJoined(ProxyId proxy, ZoneId zone, double, bool fresh) override {
         unbound[proxy] = zone;
         in.insert(proxy);
         seen.push_back("joined " + std::to_string(proxy.value) + (fresh ? " fresh" : ""));
     }
-    void left(ProxyId proxy) override {
+    void proxyLeft(ProxyId proxy) override {
         unbound.erase(proxy);
         in.erase(proxy);
         seen.push_back("left " + std::to_string(proxy.value));
     }
-    void sums(const ServerSums&) override {}
-    void usage(const UsageSums& line) override {
-        seen.push_back("usage " + std::to_string(line.product.value) + " " + std::to_string(line.txns));
+    void reportLoad(const EndpointLoadReport&) override {}
+    void reportDemand(const DemandReport& line) override {
+        seen.push_back("usage " + std::to_string(line.requestClass.value) + " " +
+                       std::to_string(line.requests));
     }
-    void applied(ProxyId, MarkId mark) override { applications.push_back(mark); }
-    void probed(const ProbeResult&) override {}
-    void woken() override {}
+    void barrierAcknowledged(ProxyId, BarrierId mark) override { applications.push_back(mark); }
+    void probeCompleted(const ProbeResult&) override {}
+    void timerExpired() override {}
     void decide() override {}
 };
 
@@ -51,14 +52,15 @@
     static constexpr std::size_t kZones = 2;
     Micros now{1h};
     net::Counters counters;
-    net::Names names{{"lookup", "order"}, {"a", "b"}};
+    net::NameRegistry names{{"lookup", "order"}, {"a", "b"}};
     SmallPlanner planner;
-    orders::OrderBook book{names, counters, [](ServerId) {}, [](Micros) {}};
-    pubsub::PaceTerms pace{.linesEach = 300, .bytesEach = 16 * 1024, .queueMost = 4000};
-    pubsub::LeaseTerms leases{};
+    routing::RoutingState book{names, counters, [](EndpointId) {}, [](Micros) {}};
+    pubsub::FlowControlLimits pace{
+        .maxLinesPerSubscriber = 300, .maxBytesPerSubscriber = 16 * 1024, .maxQueuedLines = 4000};
+    pubsub::LeaseConfig leases{};
     std::uint64_t life = 1;
     std::size_t tombstones = 50;
-    std::unique_ptr<pubsub::Hub> hub;
+    std::unique_ptr<pubsub::SubscriptionServer> hub;
     std::uint16_t marks = 0;
     std::vector<std::string> broken;
     std::map<std::string, pubsub::Sequence> outAt; // withdrawn servers: since which sequence of this life
@@ -73,7 +75,7 @@
         for (auto& one : ends) one->gone();
     }
     void open() {
-        hub = std::make_unique<pubsub::Hub>(
+        hub = std::make_unique<pubsub::SubscriptionServer>(
             book, names, counters, "n1", pubsub::Epoch{life}, 2000, pace, leases, tombstones,
             [this]() -> Planner& { return planner; }, [this] { return now; });
     }
@@ -81,7 +83,7 @@
     /// One stream: what the planner wrote and the front end has not read, and the other way.
     struct End : pubsub::FrameTarget {
         explicit End(Yard& its)
-            : yard(its), number(its.streamsOpened++), subscriber(&its.hub->opened(*this)) {}
+            : yard(its), number(its.streamsOpened++), subscriber(&its.hub->sessionOpened(*this)) {}
         bool push(const pubsub::SharedFrame& frame) override {
             if (!up) return true;
             if (toClient.size() > most) return false;
@@ -96,7 +98,7 @@
         }
         void gone() {
             up = false;
-            if (subscriber) yard.hub->ended(*std::exchange(subscriber, nullptr));
+            if (subscriber) yard.hub->sessionClosed(*std::exchange(subscriber, nullptr));
         }
         Yard& yard;
         std::size_t number;
@@ -128,7 +130,7 @@
             const auto old = std::exchange(end, nullptr);
             old->gone();
             std::erase(yard->ends, old);
-            subscription.lost();
+            subscription.connectionClosed();
         }
         void say(std::string_view bytes) {
             if (!end || !end->subscriber) return;
@@ -136,9 +138,9 @@
             if (yard->onBytes && !bytes.empty())
                 yard->onBytes(from->number, Direction::FromSubscriber, bytes);
             const auto fault = from->reader.feed(bytes, [&](pubsub::Frame& frame) {
-                return from->subscriber && yard->hub->take(*from->subscriber, frame);
+                return from->subscriber && yard->hub->handleFrame(*from->subscriber, frame);
             });
-            if (fault && from->subscriber) yard->hub->garbled(*from->subscriber, *fault);
+            if (fault && from->subscriber) yard->hub->protocolError(*from->subscriber, *fault);
         }
         /// Reads at most so many bytes; dials again where the stream is spent.
         void read(std::size_t most = 1 << 20, bool redials = true) {
@@ -151,7 +153,7 @@
             if (redials) dial();
         }
         const pubsub::Replica& replica() const { return subscription.replica(); }
-        const pubsub::Table* table() const { return replica().tableOf("lookup"); }
+        const pubsub::RoutingTable* table() const { return replica().tableOf("lookup"); }
     };
     std::vector<std::unique_ptr<Client>> clients;
 
@@ -161,19 +163,19 @@
         return *clients.back();
     }
     static TableId tableOf(std::size_t zone) { return {static_cast<std::uint16_t>(zone)}; }
-    ServerId server(int k) { return names.listed("s-" + std::to_string(k)); }
+    EndpointId server(int k) { return names.registerEndpoint("s-" + std::to_string(k)); }
     /// One batch of the planner's: orders, those that joined bound, a mark.
     void batch(const std::function<void()>& orders = {}) {
         if (orders) orders();
         for (const auto& [proxy, zone] : std::exchange(planner.unbound, {}))
-            book.bind(proxy, 0, tableOf(zone.value));
-        book.mark({++marks}, false);
+            book.assignTable(proxy, 0, tableOf(zone.value));
+        book.requestBarrier({++marks}, false);
         book.flush(now);
         check();
     }
-    void line(std::size_t zone, int k, double weight) { book.setLine(tableOf(zone), server(k), weight); }
+    void line(std::size_t zone, int k, double weight) { book.setWeight(tableOf(zone), server(k), weight); }
     void withdraw(int k, bool out) {
-        book.withdraw(server(k), out);
+        book.setExcluded(server(k), out);
         if (out)
             outAt["s-" + std::to_string(k)] = hub->log(pubsub::kWithdrawnTopic)->head();
         else
@@ -195,11 +197,11 @@
     }
     /// A second passes: beats, leases, stalls.
     void second(bool reading = true) {
-        for (std::uint32_t k = 0; k < pubsub::Hub::kTurns; ++k) {
+        for (std::uint32_t k = 0; k < pubsub::SubscriptionServer::kTicksPerHeartbeat; ++k) {
             now += 100ms;
-            hub->turn();
+            hub->tick();
             for (auto& one : clients) {
-                one->say(one->subscription.turn(now));
+                one->say(one->subscription.tick(now));
                 if (reading) one->read();
             }
         }
@@ -212,23 +214,23 @@
         hub.reset();
         ++life;
         outAt.clear();
-        for (const auto& server : std::set(book.withdrawnServers())) book.withdraw(server, false);
+        for (const auto& server : std::set(book.excludedEndpoints())) book.setExcluded(server, false);
         open();
     }
 
     std::map<std::string, double> ordered(std::size_t zone) const {
         std::map<std::string, double> out;
         if (const auto at = book.tables().find(tableOf(zone)); at != book.tables().end())
-            for (const auto& [server, weight] : at->second.lines) out[names.of(server)] = weight;
+            for (const auto& [server, weight] : at->second.weights) out[names.nameOf(server)] = weight;
         return out;
     }
     bool same(const Client& one, std::size_t zone) const {
         const auto* table = one.table();
         const auto wanted = ordered(zone);
-        if (!table || table->lines != wanted) return false;
+        if (!table || table->weights != wanted) return false;
         for (const auto& [server, weight] : wanted)
             if (one.replica().withdrawn(server, now) !=
-                book.withdrawnServers().contains(*names.server(server)))
+                book.excludedEndpoints().contains(*names.endpoint(server)))
                 return false;
         return true;
     }
@@ -237,10 +239,11 @@
     }
     void check() {
         const auto& pacing = hub->pacing();
-        expect(static_cast<double>(pacing.lines() + book.linesOnTheirWay()) <= 0.95 * pace.queueMost,
+        expect(static_cast<double>(pacing.lines() + book.unacknowledgedLines()) <= 0.95 * pace.maxQueuedLines,
                "short queue: too many lines wait");
         for (const auto& one : ends)
-            expect(one->toClient.size() <= 3 * pace.bytesEach + 4096, "too much waits for one subscriber");
+            expect(one->toClient.size() <= 3 * pace.maxBytesPerSubscriber + 4096,
+                   "too much waits for one subscriber");
         for (const auto& one : clients) {
             if (one->replica().epoch() != hub->epoch()) continue;
             const auto known = one->replica().at(pubsub::kWithdrawnTopic);
