--- a/tests/pubsub_test.cpp
+++ b/tests/pubsub_test.cpp
@@ -7,8 +7,8 @@
 #include <random>
 #include <zstd.h>
 
-#include "client/redial.h"
-#include "yard.h"
+#include "client/reconnect_backoff.h"
+#include "pubsub_harness.h"
 
 namespace zincstack::pubsub {
 namespace {
@@ -70,7 +70,7 @@
     EXPECT_FALSE(log.covers({99}));
 }
 
-Frame frameOf(Type type, std::string body = {}) {
+Frame frameOf(FrameType type, std::string body = {}) {
     Frame out{type};
     out.topic = {3}, out.epoch = {7}, out.sequence = {9}, out.since = {8};
     out.body = std::move(body);
@@ -82,7 +82,7 @@
     std::vector<std::string> wanted, got;
     for (int k = *rc::gen::inRange(0, 5); k > 0; --k) {
         wanted.push_back(std::string(*rc::gen::inRange<std::size_t>(0, 3000), static_cast<char>('a' + k)));
-        all += writeFrame(frameOf(Type::Changes, wanted.back()), *rc::gen::arbitrary<bool>());
+        all += writeFrame(frameOf(FrameType::Changes, wanted.back()), *rc::gen::arbitrary<bool>());
     }
     FrameReader reader(kPlannerFrameMost);
     for (std::string_view rest = all; !rest.empty();) {
@@ -99,8 +99,8 @@
 }
 
 RC_GTEST_PROP(ChannelWire, AnyBytesAreRefusedOrReadAndNoMoreThanAFrameIsHeld, ()) {
-    auto text =
-        writeFrame(frameOf(Type::Snapshot, write(TopicBody{{"lookup"}, {line(1, 2), line(2, .5)}})), true);
+    auto text = writeFrame(
+        frameOf(FrameType::Snapshot, write(TopicBody{{"lookup"}, {line(1, 2), line(2, .5)}})), true);
     for (int k = *rc::gen::inRange(0, 6); k > 0; --k)
         text[*rc::gen::inRange<std::size_t>(0, text.size())] = static_cast<char>(*rc::gen::inRange(0, 256));
     text += *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
@@ -122,19 +122,19 @@
     EXPECT_EQ(greeting->proxy, hello.proxy);
     EXPECT_EQ(greeting->weight, 21.5);
     EXPECT_EQ(greeting->have, hello.have);
-    const auto parting = readParting(write(Parting{"off", 3s}));
-    EXPECT_EQ(parting->again, Micros(3s));
-    EXPECT_FALSE(readParting(write(Parting{"off", {}}))->again);
+    const auto parting = readParting(write(DisconnectNotice{"off", 3s}));
+    EXPECT_EQ(parting->retryAfter, Micros(3s));
+    EXPECT_FALSE(readParting(write(DisconnectNotice{"off", {}}))->retryAfter);
     TopicBody body{{"lookup", "order"},
                    {line(1, 0.6),
                     line(2, 3),
-                    {{Key::Kind::Level, "order"}, {0.25, FurtherTries::AfterProof}},
+                    {{Key::Kind::Level, "order"}, {0.25, RetryPolicy::AfterProofOfNoEffect}},
                     {{Key::Kind::Out, "s-9"}, {1, {}}}}};
     const auto topic = readTopic(write(body));
     EXPECT_EQ(topic->products, body.products);
     EXPECT_EQ(topic->entries, body.entries);
     EXPECT_EQ(readHeads(write(Heads{{{0}, {4}}, {{2}, {5}}}))->size(), 2U);
-    EXPECT_EQ(readUsage(write(UsageLine{"order", 5, 1, 1s}))->txns, 5U);
+    EXPECT_EQ(readUsage(write(DemandRecord{"order", 5, 1, 1s}))->requests, 5U);
 }
 
 std::string cborOf(const nlohmann::json& value) {
@@ -185,7 +185,7 @@
     EXPECT_EQ(faultOf(std::string("\0\0\0", 3)), "");
     const std::string zeros(kBodyMost, '\0');
     std::string bomb =
-        writeFrame(frameOf(Type::Hello, zeros), true); // a few bytes that unpack to all that may be
+        writeFrame(frameOf(FrameType::Hello, zeros), true); // a few bytes that unpack to all that may be
     EXPECT_LT(bomb.size(), 1000U);
     EXPECT_EQ(faultOf(bomb), "");
     bomb[12] = '\x7f'; // and more than may be
@@ -203,10 +203,10 @@
     std::vector<Frame> flying;
     std::map<Sequence, Lines> states{{log.head(), {}}};
     Lines truth;
-    const auto send = [&](Type type, Sequence since) {
+    const auto send = [&](FrameType type, Sequence since) {
         Frame frame{type};
         frame.topic = {1}, frame.epoch = epoch, frame.sequence = log.head(), frame.since = since;
-        const auto all = type == Type::Snapshot ? log.whole() : log.since(since);
+        const auto all = type == FrameType::Snapshot ? log.whole() : log.since(since);
         for (std::size_t at = 0; at == 0 || at < all.size(); at += 2, ++frame.part) { // two entries a part
             const auto last = std::min(at + 2, all.size());
             frame.more = last < all.size();
@@ -223,7 +223,7 @@
         RC_ASSERT((!before || (after && *after >= *before)));
         if (after && states.contains(*after)) {
             const auto* table = replica.tableOf("lookup");
-            RC_ASSERT((table ? table->lines : Lines{}) == states.at(*after));
+            RC_ASSERT((table ? table->weights : Lines{}) == states.at(*after));
         }
     };
     for (int steps = *rc::gen::inRange(0, 60); steps > 0; --steps) {
@@ -237,9 +237,9 @@
             break;
         }
         case 2:
-            if (const auto at = replica.at({1}); at && log.covers(*at)) send(Type::Changes, *at);
+            if (const auto at = replica.at({1}); at && log.covers(*at)) send(FrameType::Changes, *at);
             break;
-        case 3: send(Type::Snapshot, {}); break;
+        case 3: send(FrameType::Snapshot, {}); break;
         case 4:
             if (!flying.empty()) arrive(*rc::gen::inRange<std::size_t>(0, flying.size()));
             break;
@@ -248,17 +248,17 @@
         }
     }
     flying.clear();
-    send(Type::Snapshot, {});
+    send(FrameType::Snapshot, {});
     for (std::size_t k = 0; k < flying.size(); ++k) arrive(k);
     RC_ASSERT(replica.at({1}) == log.head());
-    RC_ASSERT((replica.tableOf("lookup") ? replica.tableOf("lookup")->lines : Lines{}) == truth);
+    RC_ASSERT((replica.tableOf("lookup") ? replica.tableOf("lookup")->weights : Lines{}) == truth);
 }
 
 TEST(Replica, AnotherPlannersTableReplacesTheOldOneOnlyOnceItIsWholeAndItsWithdrawalsAreKeptAWhile) {
     Replica replica(10s);
     const auto frame = [](Epoch epoch, TopicId topic, std::vector<Entry> entries, bool more = false,
                           std::uint16_t part = 0) {
-        Frame out{Type::Snapshot};
+        Frame out{FrameType::Snapshot};
         out.epoch = epoch, out.topic = topic, out.sequence = {3}, out.more = more, out.part = part;
         out.body = write(TopicBody{{"lookup"}, std::move(entries)});
         return out;
@@ -273,7 +273,7 @@
     EXPECT_EQ(replica.take(frame({1}, {1}, {line(3, 1)}), 2s), Replica::Outcome::Foreign);
     EXPECT_EQ(replica.take(frame({2}, {0}, {}), 2s), Replica::Outcome::Applied);
     EXPECT_EQ(replica.take(frame({2}, {1}, {line(1, 1)}, true), 2s), Replica::Outcome::Part);
-    EXPECT_EQ(replica.tableOf("lookup")->lines.size(), 2U); // not whole yet
+    EXPECT_EQ(replica.tableOf("lookup")->weights.size(), 2U); // not whole yet
     EXPECT_EQ(replica.take(frame({2}, {1}, {line(2, 1)}, false, 1), 2s), Replica::Outcome::Applied);
     EXPECT_TRUE(replica.withdrawn("s-1", 2s));
     EXPECT_FALSE(replica.withdrawn("s-1", 12s));                                         // hearsay by now
@@ -285,8 +285,8 @@
 }
 
 TEST(Pacing, EachAndAllAreBoundedAndWhatIsUrgentHasRoomLeft) {
-    Pacing pacing({.linesEach = 100, .bytesEach = 1000, .queueMost = 1000});
-    using Verdict = Pacing::Verdict;
+    FlowControl pacing({.maxLinesPerSubscriber = 100, .maxBytesPerSubscriber = 1000, .maxQueuedLines = 1000});
+    using Verdict = FlowControl::Verdict;
     Window one, other;
     EXPECT_EQ(pacing.may(Urgency::Snapshot, 300, 9000, one, 0), Verdict::Go); // alone, however large
     pacing.sent(one, 300, 9000);
@@ -304,15 +304,15 @@
     EXPECT_FALSE(pacing.next());
 }
 
-TEST(ComeBack, ThoseWhoAreSentAwayTogetherComeBackApart) {
-    ComeBack spread(1s, 100);
+TEST(RetryAfterPlanner, ThoseWhoAreSentAwayTogetherComeBackApart) {
+    RetryAfterPlanner spread(1s, 100);
     EXPECT_EQ(spread.after(5s), 1s);
     for (int k = 1; k < 300; ++k) EXPECT_EQ(spread.after(5s), 1s + k * 10ms);
     EXPECT_EQ(spread.after(60s), 1s);
 }
 
 TEST(Redial, WaitsDoubleAreSpreadAndTheNextPlannerIsTried) {
-    client::Redial redial(2, {.first = 100ms, .most = 1s, .well = 10s}, 7);
+    client::ReconnectBackoff redial(2, {.initialDelay = 100ms, .maxDelay = 1s, .resetAfter = 10s}, 7);
     Micros most{};
     for (std::size_t k = 0; k < 12; ++k) {
         const auto call = redial.next(0s, {});
@@ -326,15 +326,15 @@
     EXPECT_EQ(redial.next(0s, 3s).wait, 3s); // as the planner said, and the same planner
     EXPECT_EQ(redial.address(), 0U);
     EXPECT_LE(redial.next(11s, {}).wait, 100ms);
-    const auto first = client::Redial(2, {}, 1).next(0s, {}).wait,
-               second = client::Redial(2, {}, 2).next(0s, {}).wait;
+    const auto first = client::ReconnectBackoff(2, {}, 1).next(0s, {}).wait,
+               second = client::ReconnectBackoff(2, {}, 2).next(0s, {}).wait;
     EXPECT_NE(first, second);
 }
 
-struct Channel : testing::Test, Yard {
+struct PubsubService : testing::Test, Yard {
     void TearDown() override {
         EXPECT_TRUE(broken.empty()) << broken.front();
-        EXPECT_EQ(counters.of(net::Count::BrokenInvariant), 0U);
+        EXPECT_EQ(counters.of(net::Counter::BrokenInvariant), 0U);
     }
     void servers(int count, std::size_t zone = 0) {
         batch([&] {
@@ -349,48 +349,48 @@
     }
 };
 
-TEST_F(Channel, ASubscriberJoinsGetsASnapshotThenChangesAndItsMarksAreAnswered) {
+TEST_F(PubsubService, ASubscriberJoinsGetsASnapshotThenChangesAndItsMarksAreAnswered) {
     servers(20);
     Client& one = add(3);
     EXPECT_EQ(planner.seen, std::vector<std::string>{"joined 3 fresh"});
     settle();
     EXPECT_EQ(one.table(), nullptr); // the planner has not bound it yet
-    batch([&] { book.admit(tableOf(0), 1, 0.5, FurtherTries::AfterProof); });
+    batch([&] { book.setAdmission(tableOf(0), 1, 0.5, RetryPolicy::AfterProofOfNoEffect); });
     EXPECT_TRUE(planner.applications.empty());
     settle();
     EXPECT_TRUE(same(one, 0));
-    EXPECT_EQ(one.table()->products, (std::vector<std::string>{"lookup", "order"}));
-    EXPECT_EQ(one.table()->levels.at("lookup"), (Level{0.5, FurtherTries::AfterProof}));
-    EXPECT_EQ(planner.applications, std::vector<MarkId>{{marks}});
-    const auto snapshots = counters.of(net::Count::Snapshots);
+    EXPECT_EQ(one.table()->requestClasses, (std::vector<std::string>{"lookup", "order"}));
+    EXPECT_EQ(one.table()->admission.at("lookup"), (AdmissionLimit{0.5, RetryPolicy::AfterProofOfNoEffect}));
+    EXPECT_EQ(planner.applications, std::vector<BarrierId>{{marks}});
+    const auto snapshots = counters.of(net::Counter::Snapshots);
     batch([&] { line(0, 3, 0), line(0, 4, 9), withdraw(3, true); });
     settle();
     EXPECT_TRUE(same(one, 0));
-    EXPECT_EQ(planner.applications.back(), MarkId{marks});
-    EXPECT_EQ(counters.of(net::Count::Snapshots), snapshots);
-    one.say(one.subscription.usage("order", 19, 2, 1s));
+    EXPECT_EQ(planner.applications.back(), BarrierId{marks});
+    EXPECT_EQ(counters.of(net::Counter::Snapshots), snapshots);
+    one.say(one.subscription.encodeDemand("order", 19, 2, 1s));
     EXPECT_EQ(planner.seen.back(), "usage 1 19");
     second();
     EXPECT_EQ(one.subscription.state(), client::Subscription::State::Live);
     EXPECT_EQ(hub->inState(State::Live), 1U);
 }
 
-TEST_F(Channel, ChangesAreEncodedOnceForAll) {
+TEST_F(PubsubService, ChangesAreEncodedOnceForAll) {
     servers(40);
     for (std::uint16_t k = 0; k < 50; ++k) add(k);
     batch();
     settle();
-    const auto before = counters.of(net::Count::FramesEncoded);
+    const auto before = counters.of(net::Counter::FramesEncoded);
     batch([&] { line(0, 7, 5); });
     settle();
-    EXPECT_EQ(counters.of(net::Count::FramesEncoded), before + 1);
+    EXPECT_EQ(counters.of(net::Counter::FramesEncoded), before + 1);
     for (const auto& one : clients) EXPECT_TRUE(same(*one, 0));
 }
 
-TEST_F(Channel, ARejoinInTheMiddleOfAChangeGoesOnFromWhatItHas) {
+TEST_F(PubsubService, ARejoinInTheMiddleOfAChangeGoesOnFromWhatItHas) {
     servers(200);
     Client& one = joined(3);
-    const auto snapshots = counters.of(net::Count::Snapshots);
+    const auto snapshots = counters.of(net::Counter::Snapshots);
     batch([&] { line(0, 1, 8); });
     one.cut(); // the change is on its way
     batch([&] { line(0, 2, 8), line(0, 3, 0); });
@@ -400,11 +400,11 @@
     settle();
     EXPECT_TRUE(same(one, 0));
     // No table again: only the changes. Of the withdrawals it had one already, too.
-    EXPECT_EQ(counters.of(net::Count::Snapshots), snapshots);
-    EXPECT_EQ(planner.applications.back(), MarkId{marks});
+    EXPECT_EQ(counters.of(net::Counter::Snapshots), snapshots);
+    EXPECT_EQ(planner.applications.back(), BarrierId{marks});
 }
 
-TEST_F(Channel, ASnapshotThatIsOlderThanChangesOnTheirWayUndoesNothing) {
+TEST_F(PubsubService, ASnapshotThatIsOlderThanChangesOnTheirWayUndoesNothing) {
     servers(20);
     Client& one = joined(3);
     std::string old; // a snapshot that was cut early and comes late
@@ -420,14 +420,14 @@
     const auto known = one.subscription.tally().known;
     FrameReader reader(kPlannerFrameMost);
     reader.feed(old, [&](Frame& frame) {
-        if (frame.type == Type::Snapshot) one.subscription.feed(writeFrame(frame, false), now);
+        if (frame.type == FrameType::Snapshot) one.subscription.feed(writeFrame(frame, false), now);
         return true;
     });
     EXPECT_EQ(one.subscription.tally().known, known + 2);
     EXPECT_TRUE(same(one, 0));
 }
 
-TEST_F(Channel, AnyOneWhomTheLogHasForgottenGetsASnapshot) {
+TEST_F(PubsubService, AnyOneWhomTheLogHasForgottenGetsASnapshot) {
     servers(30);
     Client& one = joined(3);
     one.cut();
@@ -440,7 +440,7 @@
     EXPECT_LE(hub->log(topicOf(tableOf(0)))->tombstones(), tombstones);
 }
 
-TEST_F(Channel, APlannerThatStartsOverHasAnotherEpochAndLowerNumbersAndIsFollowed) {
+TEST_F(PubsubService, APlannerThatStartsOverHasAnotherEpochAndLowerNumbersAndIsFollowed) {
     servers(30);
     for (int k = 0; k < 9; ++k) batch([&] { line(0, 1, 2 + k); });
     Client& one = joined(3);
@@ -453,7 +453,7 @@
     batch([&] { line(0, 2, 0); });
     settle();
     EXPECT_LT(*one.replica().at(topicOf(tableOf(0))), before);
-    EXPECT_EQ(one.table()->lines, ordered(0));
+    EXPECT_EQ(one.table()->weights, ordered(0));
     EXPECT_TRUE(one.replica().withdrawn("s-4", now)); // the new life has not heard of it
     now += 11s;
     EXPECT_FALSE(one.replica().withdrawn("s-4", now));
@@ -482,7 +482,7 @@
     EXPECT_TRUE(first.broken.empty() && second.broken.empty());
 }
 
-TEST_F(Channel, WhoReadsNothingHoldsAWindowAtMostAndNothingIsLostOnceItReads) {
+TEST_F(PubsubService, WhoReadsNothingHoldsAWindowAtMostAndNothingIsLostOnceItReads) {
     servers(300);
     Client& slow = joined(3);
     Client& live = joined(4);
@@ -493,8 +493,8 @@
     }
     batch([&] { line(0, 7, 0), withdraw(7, true); });
     EXPECT_EQ(slow.end->subscriber->state(), State::Lagging);
-    EXPECT_GE(counters.of(net::Count::Lags), 1U);
-    EXPECT_LE(slow.end->subscriber->window.lines, 2 * pace.linesEach);
+    EXPECT_GE(counters.of(net::Counter::Lags), 1U);
+    EXPECT_LE(slow.end->subscriber->window.lines, 2 * pace.maxLinesPerSubscriber);
     live.read();
     EXPECT_TRUE(same(live, 0));
     slow.stalled = false;
@@ -505,7 +505,7 @@
 }
 
 /// Deaf ones once held so much of the queue that all share that nobody else was sent anything.
-TEST_F(Channel, ATenthThatReadNothingStarveNobodyAndTheirMemoryIsBounded) {
+TEST_F(PubsubService, ATenthThatReadNothingStarveNobodyAndTheirMemoryIsBounded) {
     servers(300);
     for (std::uint16_t k = 0; k < 200; ++k) add(k);
     for (std::size_t k = 0; k < 200; k += 10) clients[k]->stalled = true;
@@ -514,7 +514,7 @@
     std::size_t deafBytes = 0, told = 0;
     for (std::size_t k = 0; k < 200; ++k)
         if (k % 10 == 0 && clients[k]->end) deafBytes += clients[k]->end->toClient.size();
-    EXPECT_LE(deafBytes, 20U * 2 * pace.bytesEach);
+    EXPECT_LE(deafBytes, 20U * 2 * pace.maxBytesPerSubscriber);
     batch([&] { line(0, 7, 9), withdraw(8, true); });
     settle();
     for (std::size_t k = 0; k < 200; ++k) told += k % 10 && same(*clients[k], 0);
@@ -522,9 +522,9 @@
     EXPECT_EQ(hub->pacing().lines(), 0U);
 }
 
-TEST_F(Channel, AWithdrawalOvertakesTheTableOfOneThatHasNotReadIt) {
+TEST_F(PubsubService, AWithdrawalOvertakesTheTableOfOneThatHasNotReadIt) {
     servers(1000);
-    pace.linesEach = 300;
+    pace.maxLinesPerSubscriber = 300;
     Client& one = add(3);
     batch(); // the first part of the table is on its way, the rest waits
     one.read(4096);
@@ -540,7 +540,7 @@
     EXPECT_TRUE(same(one, 0));
 }
 
-TEST_F(Channel, AReaderOfOneByteAtATimeEndsWithTheSameTable) {
+TEST_F(PubsubService, AReaderOfOneByteAtATimeEndsWithTheSameTable) {
     servers(40);
     Client& one = add(3);
     batch();
@@ -552,7 +552,7 @@
     EXPECT_TRUE(same(one, 0));
 }
 
-TEST_F(Channel, WhoNeverReadsIsLetGoWithAReasonAndWhoIsSilentToo) {
+TEST_F(PubsubService, WhoNeverReadsIsLetGoWithAReasonAndWhoIsSilentToo) {
     servers(50);
     Client& deaf = joined(3);
     Client& mute = joined(4);
@@ -561,21 +561,21 @@
     batch([&] { line(0, 1, 9); });
     for (int k = 0; k < 30; ++k) {
         now += 1s;
-        for (std::uint32_t turn = 0; turn < Hub::kTurns; ++turn) hub->turn();
-        for (auto* one : {&deaf, &well}) one->say(one->subscription.turn(now));
+        for (std::uint32_t turn = 0; turn < SubscriptionServer::kTicksPerHeartbeat; ++turn) hub->tick();
+        for (auto* one : {&deaf, &well}) one->say(one->subscription.tick(now));
         well.read();
     }
     EXPECT_FALSE(planner.in.contains({3}));
     EXPECT_FALSE(planner.in.contains({4}));
     EXPECT_TRUE(planner.in.contains({5}));
     mute.read(1 << 20, false);
-    ASSERT_TRUE(mute.subscription.parting());
-    EXPECT_NE(mute.subscription.parting()->reason.find("lease"), std::string::npos);
-    EXPECT_TRUE(mute.subscription.parting()->again);
+    ASSERT_TRUE(mute.subscription.disconnectNotice());
+    EXPECT_NE(mute.subscription.disconnectNotice()->reason.find("lease"), std::string::npos);
+    EXPECT_TRUE(mute.subscription.disconnectNotice()->retryAfter);
     EXPECT_EQ(hub->pacing().lines(), 0U);
 }
 
-TEST_F(Channel, HundredsThatReturnAtOnceFillNoQueueAndStarveNobody) {
+TEST_F(PubsubService, HundredsThatReturnAtOnceFillNoQueueAndStarveNobody) {
     servers(300);
     Client& live = joined(0);
     for (std::uint16_t k = 1; k <= 300; ++k) add(k);
@@ -592,17 +592,17 @@
     EXPECT_LT(turns, 100U);
     settle();
     for (const auto& one : clients) EXPECT_TRUE(same(*one, 0));
-    EXPECT_LE(static_cast<double>(hub->pacing().mostLines()), 0.75 * pace.queueMost);
+    EXPECT_LE(static_cast<double>(hub->pacing().mostLines()), 0.75 * pace.maxQueuedLines);
 }
 
-TEST_F(Channel, ADrainIsHeldByAllWhileAThirdAreInResync) {
+TEST_F(PubsubService, ADrainIsHeldByAllWhileAThirdAreInResync) {
     servers(300);
     for (std::uint16_t k = 0; k < 90; ++k) add(k);
     batch();
     settle();
     for (std::size_t k = 0; k < 90; k += 3) { // they lost something
         Client& one = *clients[k];
-        Frame ask{Type::Ask};
+        Frame ask{FrameType::Ask};
         ask.topic = topicOf(tableOf(0)), ask.epoch = hub->epoch();
         one.say(writeFrame(ask, false));
     }
@@ -617,37 +617,37 @@
     EXPECT_EQ(hub->inState(State::Live), 90U);
 }
 
-TEST_F(Channel, ALevelChangeThatASnapshotOvertakesIsInIt) {
+TEST_F(PubsubService, ALevelChangeThatASnapshotOvertakesIsInIt) {
     servers(300);
     Client& one = joined(3);
     one.stalled = true;
-    batch([&] { book.admit(tableOf(0), 1, 0.3, FurtherTries::None); });
-    Frame ask{Type::Ask};
+    batch([&] { book.setAdmission(tableOf(0), 1, 0.3, RetryPolicy::Never); });
+    Frame ask{FrameType::Ask};
     ask.topic = topicOf(tableOf(0)), ask.epoch = hub->epoch();
     one.say(writeFrame(ask, false));
-    batch([&] { book.admit(tableOf(0), 1, 0.7, FurtherTries::None); });
+    batch([&] { book.setAdmission(tableOf(0), 1, 0.7, RetryPolicy::Never); });
     one.stalled = false;
     settle();
-    EXPECT_EQ(one.table()->levels.at("lookup").level, 0.7);
+    EXPECT_EQ(one.table()->admission.at("lookup").limit, 0.7);
     EXPECT_TRUE(same(one, 0));
 }
 
-TEST_F(Channel, ATopicOfAThousandServersGoesInPartsAndOneChangeOfItIsSmall) {
-    pace.queueMost = 20000;
+TEST_F(PubsubService, ATopicOfAThousandServersGoesInPartsAndOneChangeOfItIsSmall) {
+    pace.maxQueuedLines = 20000;
     hub.reset();
     open();
     servers(1000);
     Client& one = joined(3);
     EXPECT_TRUE(same(one, 0));
-    const auto sent = counters.of(net::Count::FramesOut);
+    const auto sent = counters.of(net::Counter::FramesOut);
     batch([&] { line(0, 500, 4); });
-    EXPECT_EQ(counters.of(net::Count::FramesOut), sent + 1);
+    EXPECT_EQ(counters.of(net::Counter::FramesOut), sent + 1);
     EXPECT_LT(one.end->toClient.size(), 100U);
     settle();
     EXPECT_TRUE(same(one, 0));
 }
 
-TEST_F(Channel, TheNewestStreamOfAProxyWinsAndTheLateEndOfTheOldOneIsNoLeaving) {
+TEST_F(PubsubService, TheNewestStreamOfAProxyWinsAndTheLateEndOfTheOldOneIsNoLeaving) {
     servers(5);
     Client& old = joined(3);
     old.stalled = true;
@@ -656,15 +656,15 @@
     EXPECT_TRUE(same(newer, 0));
     EXPECT_TRUE(planner.in.contains({3}));
     old.read(1 << 20, false);
-    ASSERT_TRUE(old.subscription.parting());
-    EXPECT_NE(old.subscription.parting()->reason.find("newer stream"), std::string::npos);
-    EXPECT_FALSE(old.subscription.parting()->again);
+    ASSERT_TRUE(old.subscription.disconnectNotice());
+    EXPECT_NE(old.subscription.disconnectNotice()->reason.find("newer stream"), std::string::npos);
+    EXPECT_FALSE(old.subscription.disconnectNotice()->retryAfter);
     EXPECT_TRUE(planner.in.contains({3}));
     newer.cut();
     EXPECT_FALSE(planner.in.contains({3}));
 }
 
-TEST_F(Channel, AWatcherIsNoProxyAndSeesWhatItsZonesProxiesHold) {
+TEST_F(PubsubService, AWatcherIsNoProxyAndSeesWhatItsZonesProxiesHold) {
     servers(5);
     Client& watcher = add(std::nullopt);
     settle();
@@ -676,20 +676,20 @@
     batch([&] { line(0, 1, 8), withdraw(2, true); });
     settle();
     EXPECT_TRUE(same(watcher, 0));
-    EXPECT_EQ(planner.applications.back(), MarkId{marks});
+    EXPECT_EQ(planner.applications.back(), BarrierId{marks});
 }
 
-TEST_F(Channel, WhatCantBeServedIsRefusedWithAReason) {
+TEST_F(PubsubService, WhatCantBeServedIsRefusedWithAReason) {
     const auto reasonOf = [&](Hello hello) {
         Client one(*this, 1, "a");
         one.end = std::make_shared<End>(*this);
-        Frame frame{Type::Hello};
+        Frame frame{FrameType::Hello};
         frame.body = write(hello);
         one.say(writeFrame(frame, false));
         std::string out;
         FrameReader reader(kPlannerFrameMost);
         reader.feed(one.end->toClient, [&](Frame& got) {
-            if (got.type == Type::Refused) out = readParting(got.body)->reason;
+            if (got.type == FrameType::Refused) out = readParting(got.body)->reason;
             return true;
         });
         EXPECT_FALSE(one.end->up && !out.empty());
@@ -710,14 +710,14 @@
     EXPECT_TRUE(planner.in.empty());
 }
 
-TEST_F(Channel, StrangersAreClosedWithAReasonAndDisturbNobody) {
+TEST_F(PubsubService, StrangersAreClosedWithAReasonAndDisturbNobody) {
     servers(5);
     Client& well = joined(3);
     const std::string hello = well.subscription.farewell("x");
     for (const std::string& bytes :
          {std::string("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), std::string(5000, '\xff'),
-          std::string(5000, '\0'), hello, writeFrame(frameOf(Type::Applied), false),
-          writeFrame(frameOf(Type::Hello, "\xa0"), false), writeFrame(frameOf(Type{77}), false)}) {
+          std::string(5000, '\0'), hello, writeFrame(frameOf(FrameType::Applied), false),
+          writeFrame(frameOf(FrameType::Hello, "\xa0"), false), writeFrame(frameOf(FrameType{77}), false)}) {
         Client stranger(*this, 9, "a");
         stranger.end = std::make_shared<End>(*this);
         stranger.say(bytes);
@@ -729,28 +729,28 @@
     EXPECT_TRUE(same(well, 0));
     EXPECT_EQ(planner.in.size(), 1U);
     // One who has joined may say what a later version knows; it is let pass.
-    well.say(writeFrame(frameOf(Type{77}), false));
+    well.say(writeFrame(frameOf(FrameType{77}), false));
     EXPECT_TRUE(planner.in.contains({3}));
     well.say(std::string(5000, '\xff'));
     EXPECT_FALSE(planner.in.contains({3}));
 }
 
-TEST_F(Channel, SwitchedOffItTellsAllWhenToComeBackApart) {
+TEST_F(PubsubService, SwitchedOffItTellsAllWhenToComeBackApart) {
     servers(5);
     for (std::uint16_t k = 0; k < 100; ++k) add(k);
     batch();
     settle();
-    hub->off();
+    hub->suspend();
     EXPECT_TRUE(planner.in.empty());
     std::set<Micros> waits;
     for (const auto& one : clients) {
         one->read(1 << 20, false);
-        ASSERT_TRUE(one->subscription.parting());
-        waits.insert(one->subscription.parting()->again.value());
+        ASSERT_TRUE(one->subscription.disconnectNotice());
+        waits.insert(one->subscription.disconnectNotice()->retryAfter.value());
     }
     EXPECT_EQ(waits.size(), 100U);
     EXPECT_NE(clients[0]->table(), nullptr); // with the tables they have they go on
-    hub->on();
+    hub->resume();
     batch([&] { line(0, 2, 5); });
     for (const auto& one : clients) one->dial();
     batch();
@@ -758,13 +758,13 @@
     for (const auto& one : clients) EXPECT_TRUE(same(*one, 0));
 }
 
-TEST_F(Channel, AServerThatIsForgottenMayComeBackUnderItsNameAndIsPicked) {
+TEST_F(PubsubService, AServerThatIsForgottenMayComeBackUnderItsNameAndIsPicked) {
     servers(5);
     Client& one = joined(3);
     batch([&] { line(0, 2, 0), withdraw(2, true); });
     settle();
-    const ServerId before = server(2);
-    batch([&] { book.forget(before), outAt.erase("s-2"); });
+    const EndpointId before = server(2);
+    batch([&] { book.forgetEndpoint(before), outAt.erase("s-2"); });
     settle();
     EXPECT_NE(server(2), before);
     batch([&] { line(0, 2, 1); });
@@ -807,7 +807,7 @@
         case 7: one.read(1 + any(400)); break;
         case 8: yard.second(any(2)); break;
         case 9: {
-            Frame ask{Type::Ask};
+            Frame ask{FrameType::Ask};
             ask.topic = {static_cast<std::uint16_t>(any(3))}, ask.epoch = yard.hub->epoch();
             one.say(writeFrame(ask, false));
             break;
--- a/tests/fleet.h
+++ b/tests/simulated_fleet.h
@@ -18,10 +18,10 @@
 #include <utility>
 #include <vector>
 
-#include "orders/names.h"
-#include "orders/order_book.h"
 #include "planner/planner.h"
-#include "platform/outbox.h"
+#include "platform/update_queue.h"
+#include "routing/name_registry.h"
+#include "routing/routing_state.h"
 
 namespace zincstack::tests {
 
@@ -53,18 +53,23 @@
         : terms(figures), random(figures.seed),
           names({"lookup", "hold", "confirm"}, zoneNames(figures.zones)),
           book(
-              names, counters, [this](ServerId server) { probes.push_back(server); }, [](Micros) {},
+              names, counters, [this](EndpointId server) { probes.push_back(server); }, [](Micros) {},
               channelTerms(figures)),
-          outbox(std::make_unique<net::Outbox>(book, names, counters)) {
-        const FleetTerms fleet{
-            .zones = terms.zones, .planners = 5, .weightsListed = true, .mayProbe = true, .sumsPeriod = 1s};
-        const ForwarderTerms forwarders{
-            .count = terms.proxies, .standingLines = terms.standingLines, .throttle = Throttle::Rate};
-        const ChannelTerms channel = channelTerms(terms);
-        const GuardTerms guards{terms.bareMost, terms.drainGrace, 0.2, 16s, 4, 3s};
-        const std::vector<ProductTerms> products{{1s, 3s, 3, .1, Repeatable::InquiryLike, false, false},
-                                                 {1s, 4s, 2, .1, Repeatable::Referenced, false, true},
-                                                 {1s, 2s, 3, .1, Repeatable::OnceOnly, false, true}};
+          outbox(std::make_unique<net::UpdateQueue>(book, names, counters)) {
+        const FleetConfig fleet{.zoneCount = terms.zones,
+                                .plannerCount = 5,
+                                .hasEndpointWeights = true,
+                                .probingAllowed = true,
+                                .reportInterval = 1s};
+        const ProxyFleetConfig forwarders{.proxyCount = terms.proxies,
+                                          .bootstrapTableSize = terms.standingLines,
+                                          .throttleMode = ThrottleMode::Rate};
+        const ControlChannelLimits channel = channelTerms(terms);
+        const SafetyLimits guards{terms.bareMost, terms.drainGrace, 0.2, 16s, 4, 3s};
+        const std::vector<RequestClassConfig> products{
+            {1s, 3s, 3, .1, Idempotency::Idempotent, false, false},
+            {1s, 4s, 2, .1, Idempotency::IdempotencyKeyed, false, true},
+            {1s, 2s, 3, .1, Idempotency::NonIdempotent, false, true}};
         planner = makePlanner(terms.seed, fleet, forwarders, channel, guards, products, book);
         startedAt = now;
     }
@@ -72,31 +77,31 @@
     // ---- the list of servers ------------------------------------------------------------------------------
 
     /// A server that was ready long ago, as far as the planner's first list knows.
-    std::size_t addServer(ListedState state = ListedState::Ready, Micros startedUp = 0us) {
+    std::size_t addServer(EndpointState state = EndpointState::Ready, Micros startedUp = 0us) {
         const std::size_t server = servers.size();
-        servers.push_back({names.listed("s-" + std::to_string(server)), state, startedUp, {}});
+        servers.push_back({names.registerEndpoint("s-" + std::to_string(server)), state, startedUp, {}});
         return server;
     }
-    void tellWholeList(ListNews news = ListNews::Whole) {
-        std::vector<ListedServer> entries;
+    void tellWholeList(EndpointListUpdate news = EndpointListUpdate::Snapshot) {
+        std::vector<EndpointUpdate> entries;
         for (const Server& one : servers)
-            if (one.state != ListedState::Gone) entries.push_back(entryOf(one));
-        batch([&] { planner->list(news, entries); });
+            if (one.state != EndpointState::Removed) entries.push_back(entryOf(one));
+        batch([&] { planner->updateEndpoints(news, entries); });
     }
     /// Discovery tells of all these changes at once.
-    void tellChanges(const std::vector<std::pair<std::size_t, ListedState>>& changes) {
-        std::vector<ListedServer> entries;
+    void tellChanges(const std::vector<std::pair<std::size_t, EndpointState>>& changes) {
+        std::vector<EndpointUpdate> entries;
         for (const auto& [server, state] : changes) {
             Server& one = servers[server];
-            if (state != ListedState::Ready && !one.endToldAt) one.endToldAt = now;
+            if (state != EndpointState::Ready && !one.endToldAt) one.endToldAt = now;
             one.state = state;
             entries.push_back(entryOf(one));
         }
-        batch([&] { planner->list(ListNews::Changes, entries); });
+        batch([&] { planner->updateEndpoints(EndpointListUpdate::Delta, entries); });
     }
     std::size_t startServer() {
-        const std::size_t server = addServer(ListedState::Ready, now);
-        tellChanges({{server, ListedState::Ready}});
+        const std::size_t server = addServer(EndpointState::Ready, now);
+        tellChanges({{server, EndpointState::Ready}});
         return server;
     }
 
@@ -113,16 +118,16 @@
         one.bareSince.reset();
         one.holds.fill(holds);
         const ProxyId id{proxy};
-        outbox->joined(id, {one.zone}, *one.stream);
-        batch([&] { planner->joined(id, {one.zone}, rateOf(proxy), fresh); });
+        outbox->sessionOpened(id, {one.zone}, *one.stream);
+        batch([&] { planner->proxyJoined(id, {one.zone}, rateOf(proxy), fresh); });
     }
     void leave(std::uint16_t proxy) {
         const auto found = proxies.find(proxy);
         if (found == proxies.end()) return;
         const ProxyId id{proxy};
-        outbox->left(id, *found->second.stream);
+        outbox->sessionClosed(id, *found->second.stream);
         proxies.erase(found);
-        batch([&] { planner->left(id); });
+        batch([&] { planner->proxyLeft(id); });
     }
     /// It reads nothing and answers nothing from now on, or goes on with what came meanwhile.
     void stall(std::uint16_t proxy, bool stalled) { proxies.at(proxy).stalled = stalled; }
@@ -149,28 +154,29 @@
     void report(const auto& sick) {
         open();
         for (std::size_t server = 0; server < servers.size(); ++server)
-            if (servers[server].state == ListedState::Ready)
+            if (servers[server].state == EndpointState::Ready)
                 for (std::uint8_t zone = 0; zone < terms.zones; ++zone)
-                    planner->sums({servers[server].id, {zone}, 20, sick(server) ? 18U : 0U, 200ms, 1s, {}});
+                    planner->reportLoad(
+                        {servers[server].id, {zone}, 20, sick(server) ? 18U : 0U, 200ms, 1s, {}});
         for (const auto& [id, one] : proxies)
             for (std::uint16_t product = 0; product < kProducts; ++product)
-                planner->usage({{id}, {product}, static_cast<std::uint32_t>(rateOf(id)), 0, 1s});
+                planner->reportDemand({{id}, {product}, static_cast<std::uint32_t>(rateOf(id)), 0, 1s});
         pending = true;
     }
 
     /// Every server that was probed says nothing in time.
     void probesTimeOut() {
         open();
-        for (const ServerId server : std::exchange(probes, {}))
-            planner->probed({server, ProbeStatus::TimedOut, 1s, {}});
+        for (const EndpointId server : std::exchange(probes, {}))
+            planner->probeCompleted({server, ProbeStatus::TimedOut, 1s, {}});
         pending = true;
     }
 
     /// Every server that was probed answers at once.
     void probesAreAnswered() {
         open();
-        for (const ServerId server : std::exchange(probes, {}))
-            planner->probed({server, ProbeStatus::Answered, 5ms, {}});
+        for (const EndpointId server : std::exchange(probes, {}))
+            planner->probeCompleted({server, ProbeStatus::Answered, 5ms, {}});
         pending = true;
     }
 
@@ -178,7 +184,7 @@
 
     ServerSet readyServers() const {
         ServerSet out;
-        for (std::size_t k = 0; k < servers.size(); ++k) out[k] = servers[k].state == ListedState::Ready;
+        for (std::size_t k = 0; k < servers.size(); ++k) out[k] = servers[k].state == EndpointState::Ready;
         return out;
     }
 
@@ -194,12 +200,12 @@
     static constexpr Micros kTick = 20ms, kBeat = 100ms, kSlack = 300ms, kFirstSecond = 1s;
 
     struct Server {
-        ServerId id;
-        ListedState state;
+        EndpointId id;
+        EndpointState state;
         Micros upSince;
         std::optional<Micros> endToldAt;
     };
-    struct Stream : net::PushTarget {
+    struct Stream : net::PushStream {
         Stream(Fleet& its, std::uint16_t of) : fleet(its), proxy(of) {}
         bool push(std::string_view bytes) override {
             fleet.written(proxy, bytes);
@@ -230,7 +236,7 @@
         Micros due{};
     };
 
-    static ChannelTerms channelTerms(const FleetFigures& of) {
+    static ControlChannelLimits channelTerms(const FleetFigures& of) {
         return {of.linesPerSecond, of.headLines,   of.queueMost,      of.messagesMost,
                 kMessagesOver,     of.meanTransit, 2 * of.meanTransit};
     }
@@ -239,14 +245,14 @@
         for (int k = 0; k < zones; ++k) out.push_back(std::string(1, static_cast<char>('a' + k)));
         return out;
     }
-    ListedServer entryOf(const Server& one) const {
+    EndpointUpdate entryOf(const Server& one) const {
         const auto zone = static_cast<std::uint8_t>(one.id.value % terms.zones);
         return {one.id, one.state, one.upSince, 1, {0}, {zone}};
     }
     static double rateOf(std::uint16_t proxy) { return proxy % 20 == 0 ? 30 : 2; }
 
     void open() {
-        if (!std::exchange(isOpen, true)) planner->begin(now);
+        if (!std::exchange(isOpen, true)) planner->beginBatch(now);
     }
     void batch(const auto& input) {
         open();
@@ -255,7 +261,7 @@
     }
     void close() {
         if (!std::exchange(isOpen, false) || !std::exchange(pending, false)) return;
-        planner->begin(now);
+        planner->beginBatch(now);
         planner->decide();
         lastDecision = now;
         book.flush(now);
@@ -338,7 +344,7 @@
             if (name == "for") {
                 products.clear();
                 eachPart(value, '+', [&](std::string_view product) {
-                    products.push_back(names.product(product).value().value);
+                    products.push_back(names.requestClass(product).value().value);
                 });
             }
             if (name == "replace") {
@@ -355,9 +361,10 @@
                 eachPart(value, ',',
                          [&](std::string_view server) { one.shutOut.set(numberOf(server), name == "drop"); });
             if (name == "stamp") {
-                const MarkId mark{static_cast<std::uint16_t>(std::stoi(std::string(value)))};
-                if (!outbox->answered({id}, mark)) breaks("mark", "a mark that was not written is answered");
-                batch([&] { planner->applied({id}, mark); });
+                const BarrierId mark{static_cast<std::uint16_t>(std::stoi(std::string(value)))};
+                if (!outbox->barrierAcknowledged({id}, mark))
+                    breaks("mark", "a mark that was not written is answered");
+                batch([&] { planner->barrierAcknowledged({id}, mark); });
             }
         });
     }
@@ -377,7 +384,7 @@
         bool warm = false;
         for (std::size_t k = 0; k < servers.size(); ++k) {
             if (servers[k].endToldAt) ended[*servers[k].endToldAt].set(k);
-            warm |= servers[k].state == ListedState::Ready && now - servers[k].upSince >= 16s;
+            warm |= servers[k].state == EndpointState::Ready && now - servers[k].upSince >= 16s;
         }
         const auto grace = std::chrono::duration_cast<Micros>(terms.slowdown * terms.drainGrace) + kSlack;
         const auto bareMost = std::chrono::duration_cast<Micros>(terms.slowdown * terms.bareMost) + kSlack;
@@ -406,12 +413,12 @@
     }
 
     net::Counters counters;
-    net::Names names;
-    orders::OrderBook book;
-    std::unique_ptr<net::Outbox> outbox;
+    net::NameRegistry names;
+    routing::RoutingState book;
+    std::unique_ptr<net::UpdateQueue> outbox;
     std::unique_ptr<Planner> planner;
     std::vector<Server> servers;
-    std::vector<ServerId> probes;
+    std::vector<EndpointId> probes;
     std::map<std::uint16_t, Proxy> proxies;
     std::deque<Message> queue, flight;
     Micros startedAt{}, lastDecision{};
--- a/tests/standin_test.cpp
+++ b/tests/standin_test.cpp
@@ -19,9 +19,9 @@
     ListAgent agent;
     AgentSession session{agent};
     net::Counters counters;
-    std::vector<std::pair<ListNews, std::string>> told;
+    std::vector<std::pair<EndpointListUpdate, std::string>> told;
     net::DiscoveryWatch watch{"h:1",
-                              [this](ListNews news, const json::Value& list) {
+                              [this](EndpointListUpdate news, const json::Value& list) {
                                   std::string text;
                                   for (const auto& one : list)
                                       text +=
@@ -39,12 +39,12 @@
 
 TEST_F(Agent, AWatchIsAnsweredWhenSomethingChangesOrItsTimeIsOver) {
     connect();
-    EXPECT_EQ(told.back(), std::pair(ListNews::Whole, std::string("xRyR")));
+    EXPECT_EQ(told.back(), std::pair(EndpointListUpdate::Snapshot, std::string("xRyR")));
     EXPECT_EQ(session.feed(pending, 1s), "");
     EXPECT_EQ(session.turn(2s), "");
     agent.set(members({{"x", "Terminating"}, {"z", "Ready"}}));
     pending = watch.feed(session.turn(2s));
-    EXPECT_EQ(told.back(), std::pair(ListNews::Changes, std::string("xTyGzR")));
+    EXPECT_EQ(told.back(), std::pair(EndpointListUpdate::Delta, std::string("xTyGzR")));
     EXPECT_EQ(session.feed(pending, 10s), "");
     EXPECT_EQ(session.turn(11s), "");
     pending = watch.feed(session.turn(12s)); // nothing new: no members
@@ -69,8 +69,8 @@
     EXPECT_EQ(session.turn(52s), "");
     AgentSession another(agent); // the whole list is old, too
     net::DiscoveryWatch second{"h:1",
-                               [this](ListNews, const json::Value& list) {
-                                   return told.emplace_back(ListNews::Whole, list.dump()), true;
+                               [this](EndpointListUpdate, const json::Value& list) {
+                                   return told.emplace_back(EndpointListUpdate::Snapshot, list.dump()), true;
                                },
                                counters, 1 << 20};
     second.feed(another.feed(second.connected(), 55s));
@@ -90,8 +90,8 @@
     }
     EXPECT_NE(session.feed("GET /other HTTP/1.1\r\n\r\n", 0s).find("404"), std::string::npos);
     EXPECT_TRUE(session.usable());
-    EXPECT_THROW(agent.set(json::Value{{{"phase", "Ready"}}}), Malformed);
-    EXPECT_THROW(agent.set(json::Value(3)), Malformed);
+    EXPECT_THROW(agent.set(json::Value{{{"phase", "Ready"}}}), InputError);
+    EXPECT_THROW(agent.set(json::Value(3)), InputError);
 }
 
 } // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <cstring>
 
+#include "config/start_settings.h"
 #include "simwire/host.h"
-#include "terms/start_terms.h"
 #include "wire_bytes.h"
 
 namespace zincstack::simwire {
@@ -32,7 +32,7 @@
 std::string faultOf(const auto& call) {
     try {
         call();
-    } catch (const Malformed& error) { return error.what(); }
+    } catch (const InputError& error) { return error.what(); }
     return "";
 }
 
@@ -126,14 +126,14 @@
         EXPECT_NE(fault(records, body).find(what), std::string::npos) << what;
 }
 
-terms::StartTerms readStartText(std::string_view text) {
-    return terms::readStartTerms(terms::splitText(text));
+config::StartSettings readStartText(std::string_view text) {
+    return config::readStartSettings(config::splitText(text));
 }
 
-TEST(StartTerms, TermsAreReadAndFaultsNamed) {
+TEST(StartSettings, TermsAreReadAndFaultsNamed) {
     const auto start = readStartText(kTerms);
-    EXPECT_EQ(start.products.at(0).slaTime, Micros(1'000'000));
-    EXPECT_EQ(start.fleet.zones, 2);
+    EXPECT_EQ(start.products.at(0).latencyObjective, Micros(1'000'000));
+    EXPECT_EQ(start.fleet.zoneCount, 2);
     const auto fault = [](std::string_view from, std::string_view to) -> std::string {
         std::string text(kTerms);
         text.replace(text.find(from), from.size(), to);
@@ -144,10 +144,10 @@
     EXPECT_NE(fault("Classes.count=1", "Classes.count=0").find("Classes.count"), std::string::npos);
     std::string odd(kTerms);
     odd.replace(odd.find("retryable"), 9, "sometimes");
-    EXPECT_EQ(readStartText(odd).products.at(0).repeatable, Repeatable::OnceOnly);
+    EXPECT_EQ(readStartText(odd).products.at(0).idempotency, Idempotency::NonIdempotent);
     EXPECT_EQ(readStartText(odd).notices.size(), 1U);
     odd.erase(odd.find("Classes.0.Effect="), std::string_view("Classes.0.Effect=sometimes\n").size());
-    EXPECT_EQ(readStartText(odd).products.at(0).repeatable, Repeatable::OnceOnly); // absent: the same
+    EXPECT_EQ(readStartText(odd).products.at(0).idempotency, Idempotency::NonIdempotent); // absent: the same
     EXPECT_EQ(readStartText(odd).notices.size(), 1U);
 }
 
