--- a/src/routing/name_registry.h
+++ b/src/routing/name_registry.h
@@ -1,4 +1,5 @@
-// Names of the wire and the ids that stand for them inside: products, zones, servers and their addresses.
+// Maps the names used on the wire (request classes, zones, endpoints) to the ids used inside, and back. Owns the
+// endpoints' names and addresses; request classes and zones are fixed by the configuration.
 #pragma once
 
 #include <deque>
@@ -16,67 +17,82 @@
 
 class NameRegistry {
 public:
-    NameRegistry(std::vector<std::string> products, std::vector<std::string> zones)
-        : products_(std::move(products)), zones_(std::move(zones)) {}
+    NameRegistry(std::vector<std::string> requestClasses, std::vector<std::string> zones)
+        : requestClasses_(std::move(requestClasses)), zones_(std::move(zones)) {}
 
     std::optional<RequestClassId> requestClass(std::string_view name) const {
-        return place<RequestClassId>(products_, name);
+        return indexOf<RequestClassId>(requestClasses_, name);
     }
-    std::optional<ZoneId> zone(std::string_view name) const { return place<ZoneId>(zones_, name); }
+    std::optional<ZoneId> zone(std::string_view name) const { return indexOf<ZoneId>(zones_, name); }
     std::optional<EndpointId> endpoint(std::string_view name) const {
-        const auto at = index_.find(name);
-        if (at == index_.end()) return {};
-        return at->second;
+        const auto found = idByName_.find(name);
+        if (found == idByName_.end()) return {};
+        return found->second;
     }
-    /// The id of a server that the list names; it keeps it until it is forgotten, and no other ever gets it.
+
+    /// The id of the endpoint, assigned at the first call. It is valid until `forget` and is never reused.
     EndpointId registerEndpoint(std::string_view name) {
         if (const auto known = endpoint(name)) return *known;
-        const EndpointId id{next_++};
-        servers_.emplace(id, Server{std::string(name), {}, forgotten_.contains(name)});
-        index_.emplace(name, id);
+        const EndpointId id{nextId_++};
+        endpoints_.emplace(id, Endpoint{std::string(name), {}, forgottenNames_.contains(name)});
+        idByName_.emplace(name, id);
         return id;
     }
-    void setAddress(EndpointId id, std::string_view address) { servers_.at(id).address = address; }
+    void setAddress(EndpointId id, std::string_view address) { endpoints_.at(id).address = address; }
+    /// Releases the id; the most recently forgotten names are remembered for `wasForgotten`.
     void forget(EndpointId id) {
-        if (const auto at = servers_.find(id); at != servers_.end()) {
-            if (forgotten_.insert(at->second.name).second) oldest_.push_back(at->second.name);
-            if (oldest_.size() > kForgottenMost) forgotten_.erase(oldest_.front()), oldest_.pop_front();
-            index_.erase(at->second.name);
-            servers_.erase(at);
-        }
+        const auto found = endpoints_.find(id);
+        if (found == endpoints_.end()) return;
+        rememberForgotten(found->second.name);
+        idByName_.erase(found->second.name);
+        endpoints_.erase(found);
     }
-    const std::string& nameOf(EndpointId id) const { return servers_.at(id).name; }
-    /// It was forgotten before and is named anew, so streams may have been told of it under its former id.
+
+    const std::string& nameOf(EndpointId id) const { return endpoints_.at(id).name; }
+    const std::string& nameOf(RequestClassId id) const { return requestClasses_[id.value]; }
+    /// Whether the name had another id before: proxies may still exclude the endpoint because of that one.
     bool wasForgotten(EndpointId id) const {
-        const auto at = servers_.find(id);
-        return at != servers_.end() && at->second.returned;
+        const auto found = endpoints_.find(id);
+        return found != endpoints_.end() && found->second.wasForgotten;
     }
-    /// Empty where it is forgotten.
+    /// Empty if the endpoint is not registered.
     std::string address(EndpointId id) const {
-        const auto at = servers_.find(id);
-        return at == servers_.end() ? std::string{} : at->second.address;
+        const auto found = endpoints_.find(id);
+        return found == endpoints_.end() ? std::string{} : found->second.address;
     }
-    const std::string& nameOf(RequestClassId id) const { return products_[id.value]; }
-    std::size_t requestClassCount() const { return products_.size(); }
+    std::size_t requestClassCount() const { return requestClasses_.size(); }
 
 private:
+    /// Bounds the memory for names of forgotten endpoints.
+    static constexpr std::size_t kMaxForgottenNames = 2048;
+
+    struct Endpoint {
+        std::string name;
+        std::string address;
+        bool wasForgotten = false;
+    };
+
     template <class IdType>
-    static std::optional<IdType> place(const std::vector<std::string>& all, std::string_view name) {
-        for (std::size_t k = 0; k < all.size(); ++k)
-            if (all[k] == name) return IdType{static_cast<decltype(IdType::value)>(k)};
+    static std::optional<IdType> indexOf(const std::vector<std::string>& names, std::string_view name) {
+        for (std::size_t k = 0; k < names.size(); ++k)
+            if (names[k] == name) return IdType{static_cast<decltype(IdType::value)>(k)};
         return {};
     }
-    struct Server {
-        std::string name, address;
-        bool returned = false;
-    };
-    static constexpr std::size_t kForgottenMost = 2048; // names kept of servers that are forgotten
-    std::vector<std::string> products_, zones_;
-    std::map<EndpointId, Server> servers_;
-    std::uint64_t next_ = 0;
-    std::set<std::string, std::less<>> forgotten_;
-    std::deque<std::string> oldest_; // of them, first
-    std::map<std::string, EndpointId, std::less<>> index_;
+
+    void rememberForgotten(const std::string& name) {
+        if (forgottenNames_.insert(name).second) forgottenInOrder_.push_back(name);
+        if (forgottenInOrder_.size() <= kMaxForgottenNames) return;
+        forgottenNames_.erase(forgottenInOrder_.front());
+        forgottenInOrder_.pop_front();
+    }
+
+    std::vector<std::string> requestClasses_;
+    std::vector<std::string> zones_;
+    std::map<EndpointId, Endpoint> endpoints_;
+    std::map<std::string, EndpointId, std::less<>> idByName_;
+    std::uint64_t nextId_ = 0;
+    std::set<std::string, std::less<>> forgottenNames_;
+    std::deque<std::string> forgottenInOrder_; ///< the same names, oldest first
 };
 
 } // namespace zincstack::net
--- a/src/routing/routing_state.cpp
+++ b/src/routing/routing_state.cpp
@@ -9,154 +9,173 @@
 namespace zincstack::routing {
 
 RoutingState::RoutingState(net::NameRegistry& names, net::Counters& counters,
-                           std::function<void(EndpointId)> probe, std::function<void(Micros)> wake,
-                           const ControlChannelLimits& channel)
-    : names_(names), counters_(counters), probe_(std::move(probe)), wake_(std::move(wake)),
-      headLines_(static_cast<std::size_t>(std::ceil(channel.messageOverheadLines))), credit_(channel) {}
+                           std::function<void(EndpointId)> startProbe,
+                           std::function<void(Micros)> scheduleWakeUp, const ControlChannelLimits& channel)
+    : names_(names), counters_(counters), startProbe_(std::move(startProbe)),
+      scheduleWakeUp_(std::move(scheduleWakeUp)),
+      messageOverheadLines_(static_cast<std::size_t>(std::ceil(channel.messageOverheadLines))),
+      credit_(channel) {}
 
-void RoutingState::addTransport(UpdateTransport& front) { fronts_.push_back(&front); }
+void RoutingState::addTransport(UpdateTransport& transport) { transports_.push_back(&transport); }
 
-void RoutingState::removeTransport(UpdateTransport& front) {
-    std::erase(fronts_, &front);
-    counters_.checkInvariant(
-        std::ranges::none_of(members_, [&](auto& one) { return one.second.front == &front; }));
+void RoutingState::removeTransport(UpdateTransport& transport) {
+    std::erase(transports_, &transport);
+    counters_.checkInvariant(std::ranges::none_of(
+        proxies_, [&](const auto& entry) { return entry.second.transport == &transport; }));
 }
 
-bool RoutingState::proxyJoined(ProxyId proxy, ZoneId zone, UpdateTransport& front) {
-    const auto before = members_.find(proxy);
-    const bool had = before != members_.end();
-    if (had) before->second.front->sessionReplaced(proxy);
+// ---- joined proxies ---------------------------------------------------------------------------------------
+
+bool RoutingState::proxyJoined(ProxyId proxy, ZoneId zone, UpdateTransport& transport) {
+    const auto previous = proxies_.find(proxy);
+    const bool hadSession = previous != proxies_.end();
+    if (hadSession) previous->second.transport->sessionReplaced(proxy);
     credit_.sessionOpened(proxy);
-    members_.insert_or_assign(proxy, Member{&front, zone});
-    return had;
+    proxies_.insert_or_assign(proxy, JoinedProxy{&transport, zone});
+    return hadSession;
 }
 
-bool RoutingState::owns(ProxyId proxy, const UpdateTransport& front) const {
-    const auto found = members_.find(proxy);
-    return found != members_.end() && found->second.front == &front;
+bool RoutingState::owns(ProxyId proxy, const UpdateTransport& transport) const {
+    const auto found = proxies_.find(proxy);
+    return found != proxies_.end() && found->second.transport == &transport;
 }
 
-bool RoutingState::proxyLeft(ProxyId proxy, const UpdateTransport& front) {
-    if (!owns(proxy, front)) return false;
+bool RoutingState::proxyLeft(ProxyId proxy, const UpdateTransport& transport) {
+    if (!owns(proxy, transport)) return false;
     credit_.sessionEnded(proxy);
-    members_.erase(proxy);
+    proxies_.erase(proxy);
     return true;
 }
 
-double RoutingState::elsewhere() const {
+// ---- flow control -----------------------------------------------------------------------------------------
+
+double RoutingState::transportUnacknowledgedLines() const {
     double lines = 0;
-    for (const UpdateTransport* front : fronts_) lines += front->unacknowledgedLines();
+    for (const UpdateTransport* transport : transports_) lines += transport->unacknowledgedLines();
     return lines;
 }
 
 ChannelCredit::Admission RoutingState::checkCredit(ProxyId proxy, std::size_t lines, Urgency urgency) const {
-    return credit_.check(proxy, static_cast<double>(lines), urgency, elsewhere(), now_);
+    return credit_.check(proxy, static_cast<double>(lines), urgency, transportUnacknowledgedLines(), now_);
 }
 
-void RoutingState::messageWritten(ProxyId proxy, BarrierId number, std::size_t lines) {
-    const auto found = members_.find(proxy);
-    counters_.checkInvariant(found != members_.end());
-    if (found == members_.end()) return;
-    credit_.messageWritten(proxy, number, static_cast<double>(lines), now_);
+void RoutingState::messageWritten(ProxyId proxy, BarrierId barrier, std::size_t lines) {
+    const bool joined = proxies_.contains(proxy);
+    counters_.checkInvariant(joined);
+    if (!joined) return;
+    credit_.messageWritten(proxy, barrier, static_cast<double>(lines), now_);
 }
 
-/// Guards against an answer that names a mark of another time: the ledger would take as gone what still waits.
-bool RoutingState::barrierAcknowledged(ProxyId proxy, BarrierId number) {
-    return credit_.acknowledged(proxy, number);
+bool RoutingState::barrierAcknowledged(ProxyId proxy, BarrierId barrier) {
+    return credit_.acknowledged(proxy, barrier);
 }
 
-const std::set<TableId>& RoutingState::tablesOf(ProxyId proxy) const {
-    static const std::set<TableId> kNone;
-    const auto found = members_.find(proxy);
-    return found == members_.end() ? kNone : found->second.tables;
+std::optional<double> RoutingState::pendingLines() const {
+    double lines = credit_.unacknowledgedLines() + transportUnacknowledgedLines();
+    for (const UpdateTransport* transport : transports_) lines += transport->deferredLines();
+    return lines;
 }
 
-std::optional<AdmissionLimit> RoutingState::effectiveAdmission(TableId table, RequestClassId product) const {
-    const auto& own = tables_.at(table).admission;
-    const auto at = own.find(product), all = everywhere_.find(product);
-    if (all == everywhere_.end()) return at == own.end() ? std::nullopt : std::optional(at->second);
-    if (at == own.end()) return all->second;
-    return AdmissionLimit{std::min(at->second.limit, all->second.limit), at->second.retryPolicy};
+bool RoutingState::needsBarrier() const {
+    return std::ranges::any_of(transports_,
+                               [](const UpdateTransport* transport) { return transport->needsBarrier(); });
 }
 
-bool RoutingState::mayRouteTo(ProxyId proxy, EndpointId server) const {
-    const auto& bound = tablesOf(proxy);
-    return bound.empty() || std::ranges::any_of(bound, [&](TableId table) {
-               return tables_.at(table).weights.contains(server);
+// ---- desired state ----------------------------------------------------------------------------------------
+
+const std::set<TableId>& RoutingState::tablesOf(ProxyId proxy) const {
+    static const std::set<TableId> kNone;
+    const auto found = proxies_.find(proxy);
+    return found == proxies_.end() ? kNone : found->second.tables;
+}
+
+std::optional<AdmissionLimit> RoutingState::effectiveAdmission(TableId table,
+                                                               RequestClassId requestClass) const {
+    const AdmissionLimits& tableLimits = tables_.at(table).admission;
+    const auto ofTable = tableLimits.find(requestClass);
+    const auto ofFleet = fleetWideAdmission_.find(requestClass);
+    const bool hasTableLimit = ofTable != tableLimits.end();
+    if (ofFleet == fleetWideAdmission_.end())
+        return hasTableLimit ? std::optional(ofTable->second) : std::nullopt;
+    if (!hasTableLimit) return ofFleet->second;
+    return AdmissionLimit{std::min(ofTable->second.limit, ofFleet->second.limit),
+                          ofTable->second.retryPolicy};
+}
+
+bool RoutingState::mayRouteTo(ProxyId proxy, EndpointId endpoint) const {
+    const std::set<TableId>& assigned = tablesOf(proxy);
+    return assigned.empty() || std::ranges::any_of(assigned, [&](TableId table) {
+               return tables_.at(table).weights.contains(endpoint);
            });
 }
 
-void RoutingState::setWeight(TableId table, EndpointId server, double weight) {
-    auto& standing = tables_[table].weights;
+void RoutingState::setWeight(TableId table, EndpointId endpoint, double weight) {
+    EndpointWeights& weights = tables_[table].weights;
     if (weight > 0)
-        standing[server] = weight;
+        weights[endpoint] = weight;
     else
-        standing.erase(server);
-    for (auto* front : fronts_) front->weightChanged(table, server, weight);
-}
-
-void RoutingState::assignTable(ProxyId proxy, RequestClassSet products, TableId table) {
-    const auto found = members_.find(proxy);
-    counters_.checkInvariant(found != members_.end()); // only joined proxies are bound
-    if (found == members_.end()) return;
-    tables_[table].requestClasses = products ? products : allRequestClasses();
-    tables_[table].zone = found->second.zone;
-    std::erase_if(found->second.tables, [&](TableId other) {
-        return other != table && (tables_.at(other).requestClasses & tables_[table].requestClasses) != 0;
+        weights.erase(endpoint);
+    for (UpdateTransport* transport : transports_) transport->weightChanged(table, endpoint, weight);
+}
+
+void RoutingState::assignTable(ProxyId proxy, RequestClassSet requestClasses, TableId table) {
+    const auto found = proxies_.find(proxy);
+    counters_.checkInvariant(found != proxies_.end());
+    if (found == proxies_.end()) return;
+    JoinedProxy& joined = found->second;
+    RoutingTable& assigned = tables_[table];
+    assigned.requestClasses = requestClasses ? requestClasses : allRequestClasses();
+    assigned.zone = joined.zone;
+    std::erase_if(joined.tables, [&](TableId other) {
+        return other != table && intersects(tables_.at(other).requestClasses, assigned.requestClasses);
     });
-    found->second.tables.insert(table);
-    found->second.front->tableAssigned(proxy, table);
+    joined.tables.insert(table);
+    joined.transport->tableAssigned(proxy, table);
 }
 
-void RoutingState::setExcluded(EndpointId server, bool out) {
-    if (out)
-        withdrawn_.insert(server);
+void RoutingState::setExcluded(EndpointId endpoint, bool excluded) {
+    if (excluded)
+        excluded_.insert(endpoint);
     else
-        withdrawn_.erase(server);
-    for (auto* front : fronts_) front->exclusionChanged(server, out);
+        excluded_.erase(endpoint);
+    for (UpdateTransport* transport : transports_) transport->exclusionChanged(endpoint, excluded);
 }
 
-void RoutingState::setAdmission(std::optional<TableId> table, RequestClassSet products, double level,
-                                RetryPolicy tries) {
-    for (std::uint16_t p = 0; p < names_.requestClassCount(); ++p)
-        if (!products || (products >> p & 1U))
-            (table ? tables_[*table].admission : everywhere_)[{p}] = {level, tries};
-    for (auto* front : fronts_) front->admissionChanged(table, products ? products : allRequestClasses());
+void RoutingState::setAdmission(std::optional<TableId> table, RequestClassSet requestClasses, double limit,
+                                RetryPolicy retryPolicy) {
+    const RequestClassSet affected = requestClasses ? requestClasses : allRequestClasses();
+    for (std::uint16_t k = 0; k < names_.requestClassCount(); ++k) {
+        const RequestClassId requestClass{k};
+        if (!contains(affected, requestClass)) continue;
+        AdmissionLimits& limits = table ? tables_[*table].admission : fleetWideAdmission_;
+        limits[requestClass] = {limit, retryPolicy};
+    }
+    for (UpdateTransport* transport : transports_) transport->admissionChanged(table, affected);
 }
 
-void RoutingState::requestBarrier(BarrierId number, bool everyProxy) {
-    for (auto* front : fronts_) front->barrierRequested(number, everyProxy);
+void RoutingState::requestBarrier(BarrierId barrier, bool everyProxy) {
+    for (UpdateTransport* transport : transports_) transport->barrierRequested(barrier, everyProxy);
 }
 
-/// Guards against a removal that waits for room in the channel while its server is forgotten: nobody would be told.
-bool RoutingState::forgetEndpoint(EndpointId server) {
-    if (std::ranges::any_of(
-            fronts_, [&](const UpdateTransport* front) { return front->hasUndeliveredRemoval(server); }))
-        return false;
-    withdrawn_.erase(server);
-    for (auto* front : fronts_) front->endpointForgotten(server);
-    names_.forget(server);
+bool RoutingState::forgetEndpoint(EndpointId endpoint) {
+    const bool undelivered = std::ranges::any_of(transports_, [&](const UpdateTransport* transport) {
+        return transport->hasUndeliveredRemoval(endpoint);
+    });
+    if (undelivered) return false;
+    excluded_.erase(endpoint);
+    for (UpdateTransport* transport : transports_) transport->endpointForgotten(endpoint);
+    names_.forget(endpoint);
     return true;
 }
 
-bool RoutingState::clearStaleExclusions(ProxyId proxy, std::size_t most) {
-    const auto found = members_.find(proxy);
-    return found != members_.end() && found->second.front->clearStaleExclusions(proxy, most);
-}
-
-std::optional<double> RoutingState::pendingLines() const {
-    double lines = credit_.unacknowledgedLines() + elsewhere();
-    for (const UpdateTransport* front : fronts_) lines += front->deferredLines();
-    return lines;
-}
-
-bool RoutingState::needsBarrier() const {
-    return std::ranges::any_of(fronts_, [](const UpdateTransport* front) { return front->needsBarrier(); });
+bool RoutingState::clearStaleExclusions(ProxyId proxy, std::size_t maxEndpoints) {
+    const auto found = proxies_.find(proxy);
+    return found != proxies_.end() && found->second.transport->clearStaleExclusions(proxy, maxEndpoints);
 }
 
 bool RoutingState::supportsReassignment(ProxyId proxy) const {
-    const auto found = members_.find(proxy);
-    return found != members_.end() && found->second.front->supportsReassignment();
+    const auto found = proxies_.find(proxy);
+    return found != proxies_.end() && found->second.transport->supportsReassignment();
 }
 
 void RoutingState::log(std::string_view line) { log::info("planner", {{"says", line}}); }
@@ -164,7 +183,7 @@
 void RoutingState::flush(Micros now) {
     now_ = now;
     credit_.detectSilentSessions(now);
-    for (auto* front : fronts_) front->flush();
+    for (UpdateTransport* transport : transports_) transport->flush();
 }
 
 } // namespace zincstack::routing
--- a/src/routing/routing_state.h
+++ b/src/routing/routing_state.h
@@ -1,5 +1,6 @@
-// The planner's orders as they stand, for all fronts: tables, levels, withdrawals, which proxy has joined
-// where, and which messages have no answer yet. Every front reads it; none keeps a copy.
+// The desired state of all proxies, as the planner last ordered it: tables, admission limits, exclusions, which proxy
+// is joined through which transport, and the unacknowledged messages of the control channel. This is the only copy;
+// transports read it and are notified of changes.
 #pragma once
 
 #include <functional>
@@ -13,111 +14,121 @@
 #include "planner/channel_credit.h"
 #include "planner/planner.h"
 #include "routing/name_registry.h"
+#include "routing/request_class_set.h"
 #include "routing/update_transport.h"
 
 namespace zincstack::routing {
 
 struct AdmissionLimit {
-    double limit = 0; ///< a share, or txns a second at each proxy, as ProxyFleetConfig::throttle says
+    double limit =
+        0; ///< a fraction, or requests per second at each proxy, as ProxyFleetConfig::throttleMode says
     RetryPolicy retryPolicy = RetryPolicy::Never;
     friend bool operator==(const AdmissionLimit&, const AdmissionLimit&) = default;
 };
-using EndpointWeights = std::map<EndpointId, double>; ///< the weights of a table's servers
+
+using EndpointWeights = std::map<EndpointId, double>;
 using AdmissionLimits = std::map<RequestClassId, AdmissionLimit>;
 
 struct RoutingTable {
     RequestClassSet requestClasses = 0;
-    std::optional<ZoneId> zone; ///< of the proxies that are bound to it; none before one was
+    std::optional<ZoneId> zone; ///< of the proxies that use the table; none until it is assigned
     EndpointWeights weights;
     AdmissionLimits admission;
 };
 
 class RoutingState final : public RoutingUpdateSink {
 public:
-    RoutingState(net::NameRegistry& names, net::Counters& counters, std::function<void(EndpointId)> probe,
-                 std::function<void(Micros)> wake, const ControlChannelLimits& channel = {});
-
-    /// Fronts are told in the order in which they were added. A front that is taken away has no proxies left.
-    void addTransport(UpdateTransport& front);
-    void removeTransport(UpdateTransport& front);
-
-    // -- who is joined; the newest stream of a proxy wins, whichever front it is on --
-    /// True if the proxy had a stream before, which is told that it is replaced.
-    bool proxyJoined(ProxyId proxy, ZoneId zone, UpdateTransport& front);
-    /// False where the proxy is not this front's (any more).
-    bool proxyLeft(ProxyId proxy, const UpdateTransport& front);
-    bool owns(ProxyId proxy, const UpdateTransport& front) const;
-
-    // -- what is on its way --
-    /// Whether a message of so many lines, its head among them, may be written to the proxy now.
+    RoutingState(net::NameRegistry& names, net::Counters& counters,
+                 std::function<void(EndpointId)> startProbe, std::function<void(Micros)> scheduleWakeUp,
+                 const ControlChannelLimits& channel = {});
+
+    /// Transports are notified in the order in which they were added.
+    void addTransport(UpdateTransport& transport);
+    /// All proxies of the transport have left before.
+    void removeTransport(UpdateTransport& transport);
+
+    // Joined proxies. The newest session of a proxy wins, whichever transport it uses.
+
+    /// True if the proxy had a session before; its transport is notified that it was replaced.
+    bool proxyJoined(ProxyId proxy, ZoneId zone, UpdateTransport& transport);
+    /// False, without effect, unless the proxy's session belongs to the transport.
+    bool proxyLeft(ProxyId proxy, const UpdateTransport& transport);
+    bool owns(ProxyId proxy, const UpdateTransport& transport) const;
+
+    // Flow control of the control channel. Line counts include the overhead of the message.
+
+    /// Whether a message of so many lines may be written to the proxy now.
     ChannelCredit::Admission checkCredit(ProxyId proxy, std::size_t lines, Urgency urgency) const;
-    /// A message of so many lines, its head among them and closed by a mark, has been written to the proxy.
-    void messageWritten(ProxyId proxy, BarrierId number, std::size_t lines);
-    std::size_t messageOverheadLines() const { return headLines_; }
-    /// The proxy has answered a mark; false where no such mark was written to it, or it was answered.
-    bool barrierAcknowledged(ProxyId proxy, BarrierId number);
-    /// Lines that were written on fronts of this account and may still wait in the channel.
+    /// A message that ends with the barrier has been written to the proxy.
+    void messageWritten(ProxyId proxy, BarrierId barrier, std::size_t lines);
+    std::size_t messageOverheadLines() const { return messageOverheadLines_; }
+    /// False if the proxy has no unacknowledged message with this barrier.
+    bool barrierAcknowledged(ProxyId proxy, BarrierId barrier);
+    /// Lines that may still wait in the channel, without those on transports' own channels.
     std::size_t unacknowledgedLines() const {
         return static_cast<std::size_t>(credit_.unacknowledgedLines());
     }
-    /// When the batch that is being written, or was last, is flushed.
+    /// The time of the current batch, or of the last one.
     Micros now() const { return now_; }
 
-    // -- what was ordered --
-    /// Tables that the proxy is bound to; none where it holds only what it came with.
+    // Desired state.
+
+    /// Tables assigned to the proxy; empty while it still uses an inherited table.
     const std::set<TableId>& tablesOf(ProxyId proxy) const;
     const std::map<TableId, RoutingTable>& tables() const { return tables_; }
     const RoutingTable& table(TableId table) const { return tables_.at(table); }
-    const std::set<EndpointId>& excludedEndpoints() const { return withdrawn_; }
-    const AdmissionLimits& fleetWideAdmission() const { return everywhere_; }
-    /// Where a level is set for a table and for all, the lower one holds, with the table's way of trying
-    /// again; none where neither is set.
-    std::optional<AdmissionLimit> effectiveAdmission(TableId table, RequestClassId product) const;
-    /// Whether the proxy may pick the server, as far as is known here: an old table may name any.
-    bool mayRouteTo(ProxyId proxy, EndpointId server) const;
-    RequestClassSet allRequestClasses() const {
-        return static_cast<RequestClassSet>((1U << names_.requestClassCount()) - 1);
-    }
+    const std::set<EndpointId>& excludedEndpoints() const { return excluded_; }
+    const AdmissionLimits& fleetWideAdmission() const { return fleetWideAdmission_; }
+    /// The lower of the table's and the fleet-wide limit, with the table's retry policy; none if neither is set.
+    std::optional<AdmissionLimit> effectiveAdmission(TableId table, RequestClassId requestClass) const;
+    /// Whether the proxy may pick the endpoint. An inherited table may name any.
+    bool mayRouteTo(ProxyId proxy, EndpointId endpoint) const;
+    RequestClassSet allRequestClasses() const { return firstClasses(names_.requestClassCount()); }
 
-    /// Every front writes what was ordered, as far as the channel has room for it.
+    /// Ends the batch: every transport sends its pending changes as far as the channel has capacity.
     void flush(Micros now);
 
-    // -- orders --
-    void setWeight(TableId table, EndpointId server, double weight) override;
-    void assignTable(ProxyId proxy, RequestClassSet products, TableId table) override;
-    void setExcluded(EndpointId server, bool out) override;
-    void setAdmission(std::optional<TableId> table, RequestClassSet products, double level,
-                      RetryPolicy tries) override;
-    void requestBarrier(BarrierId number, bool everyProxy) override;
-    void probe(EndpointId server) override { probe_(server); }
-    void subscribeToEndpoints() override {} // the list is always followed
-    void scheduleWakeUp(Micros span) override { wake_(span); }
+    // RoutingUpdateSink: the planner's decisions.
+
+    void setWeight(TableId table, EndpointId endpoint, double weight) override;
+    /// No request classes means all of them.
+    void assignTable(ProxyId proxy, RequestClassSet requestClasses, TableId table) override;
+    void setExcluded(EndpointId endpoint, bool excluded) override;
+    /// No table means fleet-wide, no request classes means all of them.
+    void setAdmission(std::optional<TableId> table, RequestClassSet requestClasses, double limit,
+                      RetryPolicy retryPolicy) override;
+    void requestBarrier(BarrierId barrier, bool everyProxy) override;
+    void probe(EndpointId endpoint) override { startProbe_(endpoint); }
+    void subscribeToEndpoints() override {} // discovery is always subscribed
+    void scheduleWakeUp(Micros delay) override { scheduleWakeUp_(delay); }
     void log(std::string_view line) override;
-    /// A binding lets back what its stream was not told of, so nothing need be known of who has ended.
-    bool forgetEndpoint(EndpointId server) override;
-    bool clearStaleExclusions(ProxyId proxy, std::size_t most) override;
+    /// False while a proxy has still to be notified of the endpoint's removal: once its name is forgotten, it could
+    /// not be notified any more.
+    bool forgetEndpoint(EndpointId endpoint) override;
+    bool clearStaleExclusions(ProxyId proxy, std::size_t maxEndpoints) override;
     std::optional<double> pendingLines() const override;
     bool needsBarrier() const override;
     bool supportsReassignment(ProxyId proxy) const override;
 
 private:
-    struct Member {
-        UpdateTransport* front;
+    struct JoinedProxy {
+        UpdateTransport* transport;
         ZoneId zone;
         std::set<TableId> tables = {};
     };
-    double elsewhere() const;
+
+    double transportUnacknowledgedLines() const;
 
     net::NameRegistry& names_;
     net::Counters& counters_;
-    std::function<void(EndpointId)> probe_;
-    std::function<void(Micros)> wake_;
-    std::vector<UpdateTransport*> fronts_;
+    std::function<void(EndpointId)> startProbe_;
+    std::function<void(Micros)> scheduleWakeUp_;
+    std::vector<UpdateTransport*> transports_;
     std::map<TableId, RoutingTable> tables_;
-    AdmissionLimits everywhere_; // levels for all joined proxies
-    std::set<EndpointId> withdrawn_;
-    std::map<ProxyId, Member> members_;
-    const std::size_t headLines_;
+    AdmissionLimits fleetWideAdmission_;
+    std::set<EndpointId> excluded_;
+    std::map<ProxyId, JoinedProxy> proxies_;
+    const std::size_t messageOverheadLines_;
     ChannelCredit credit_;
     Micros now_{};
 };
--- a/src/routing/update_transport.h
+++ b/src/routing/update_transport.h
@@ -1,5 +1,5 @@
-// A front: a protocol by which proxies hear what the planner orders. The order book tells every front what
-// changes; each passes on what concerns its own proxies.
+// The interface between the routing state and the protocols that deliver it to proxies. RoutingState notifies every
+// transport of each change; a transport passes on what concerns the proxies that are connected to it.
 #pragma once
 
 #include <cstddef>
@@ -12,30 +12,33 @@
 class UpdateTransport {
 public:
     virtual ~UpdateTransport() = default;
-    virtual void weightChanged(TableId table, EndpointId server, double weight) = 0;
-    /// The proxy is one of its own, and is to hold that table besides those that it holds.
+
+    virtual void weightChanged(TableId table, EndpointId endpoint, double weight) = 0;
+    /// The proxy, which is connected to this transport, uses the table in addition to those it already uses.
     virtual void tableAssigned(ProxyId proxy, TableId table) = 0;
-    virtual void exclusionChanged(EndpointId server, bool out) = 0;
-    /// No table: for every joined proxy.
-    virtual void admissionChanged(std::optional<TableId> table, RequestClassSet products) = 0;
-    virtual void barrierRequested(BarrierId number, bool everyProxy) = 0;
-    virtual void endpointForgotten(EndpointId server) = 0;
-    /// Some proxy has still to be told that the server is taken out.
+    virtual void exclusionChanged(EndpointId endpoint, bool excluded) = 0;
+    /// Without a table the change applies to every joined proxy.
+    virtual void admissionChanged(std::optional<TableId> table, RequestClassSet requestClasses) = 0;
+    virtual void barrierRequested(BarrierId barrier, bool everyProxy) = 0;
+    virtual void endpointForgotten(EndpointId endpoint) = 0;
+    /// Whether some proxy has still to be notified that the endpoint was removed or excluded.
     virtual bool hasUndeliveredRemoval(EndpointId) const { return false; }
-    /// A newer stream of the proxy is up, here or on another front: the one that it has here ends.
+
+    /// The proxy has opened a newer session, on this transport or another one: its session here ends.
     virtual void sessionReplaced(ProxyId proxy) = 0;
-    /// The batch of orders is complete.
+    /// The batch of changes is complete and is to be sent.
     virtual void flush() = 0;
-    /// Lets back at its proxy what earlier streams may have shut out; false where there is nothing.
-    virtual bool clearStaleExclusions(ProxyId, std::size_t /*most*/) { return false; }
-    /// Lines on their way on a channel of its own, beside those that the book counts.
+    /// Readmits endpoints that earlier sessions of the proxy may have excluded, at most `maxEndpoints`. False if
+    /// there are none.
+    virtual bool clearStaleExclusions(ProxyId, std::size_t /*maxEndpoints*/) { return false; }
+
+    /// Unacknowledged lines on a channel of this transport's own, besides those that RoutingState counts.
     virtual double unacknowledgedLines() const { return 0; }
-    /// Lines that were ordered and are held back until the channel has room for them; not those that wait for a proxy
-    /// that stands still.
+    /// Lines that wait for capacity in the channel, without those that wait for a proxy that does not respond.
     virtual double deferredLines() const { return 0; }
-    /// Something is held back that has no mark to go with.
+    /// Whether some pending update lacks the barrier that it needs to be sent.
     virtual bool needsBarrier() const { return false; }
-    /// A binding takes the place of an earlier one for the same products.
+    /// Whether assigning a table replaces an earlier assignment for the same request classes.
     virtual bool supportsReassignment() const { return false; }
 };
 
