--- a/bench/pubsub_bench.cpp
+++ b/bench/pubsub_bench.cpp
@@ -251,7 +251,7 @@
     net::UpdateQueue outbox{book, names, counters};
     Scripted planner{book};
     net::BatchRunner engine{io, planner, book, counters, 0us};
-    net::InputTranslator intake{engine, book, outbox, names, counters, proxies};
+    net::InputTranslator intake{engine, outbox, names, counters, proxies};
     net::SessionAcceptor door{intake, counters, pool};
     std::optional<WholeTables> whole;
     pubsub::SubscriptionServer* hub = nullptr;
--- a/src/command/run.cpp
+++ b/src/command/run.cpp
@@ -137,7 +137,7 @@
                                      start.products, book);
     net::BatchRunner engine(io, *planner, book, counters, start.tick);
     wakes = &engine;
-    net::InputTranslator intake(engine, book, outbox, names, counters, start.forwarders.proxyCount);
+    net::InputTranslator intake(engine, outbox, names, counters, start.forwarders.proxyCount);
     net::Prober prober(io, names, intake, counters, lines, shares.probes, start.connectTimeout,
                        !start.reportColumns.empty());
     probes = &prober;
@@ -148,7 +148,7 @@
     net::DiscoveryWatch watch(
         station.discovery,
         [&](EndpointListUpdate news, const json::Value& members) {
-            const bool used = intake.list(news, members);
+            const bool used = intake.updateEndpoints(news, members);
             if (used) door.startServing();
             return used;
         },
@@ -174,7 +174,7 @@
     channel.configure(placeOf(mine.channel));
 
     if (const auto& members = json::member(station.known, "members"); members.is_array())
-        intake.list(EndpointListUpdate::Cached, members);
+        intake.updateEndpoints(EndpointListUpdate::Cached, members);
     listener->start();
     driver.start();
     asio::steady_timer first(io, kFirstListMost);
--- a/src/engine/batch_runner.cpp
+++ b/src/engine/batch_runner.cpp
@@ -10,64 +10,66 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kQuietTicks = 2;  // a batch closes once nothing has come for so many ticks
-constexpr int kMostTicks = 8;   // or is so many ticks old
-constexpr int kHopsMost = 200;  // turns of the loop in which more may come in before a batch is decided
-constexpr Micros kLate = 100ms; // a batch that took longer to gather tells of a stall
+constexpr int kQuietTicks = 2;             // without input before a batch closes
+constexpr int kMaxBatchTicks = 8;          // age at which it closes whatever comes
+constexpr int kMaxDrainTurns = 200;        // of the event loop, in which waiting input still joins the batch
+constexpr Micros kLateBatchMargin = 100ms; // a batch that took longer than this indicates a stall
 
 } // namespace
 
-BatchRunner::BatchRunner(boost::asio::io_context& io, Planner& planner, routing::RoutingState& book,
+BatchRunner::BatchRunner(boost::asio::io_context& io, Planner& planner, routing::RoutingState& state,
                          Counters& counters, Micros tick)
-    : io_(io), planner_(planner), book_(book), counters_(counters), quiet_(kQuietTicks * tick),
-      most_(kMostTicks * tick), gathered_(io), wake_(io) {}
+    : io_(io), planner_(planner), state_(state), counters_(counters), quietPeriod_(kQuietTicks * tick),
+      maxBatchAge_(kMaxBatchTicks * tick), closeTimer_(io), wakeUpTimer_(io) {}
 
 Planner& BatchRunner::openBatch() {
-    ++inputs_;
-    lastAt_ = clock_.now();
-    if (!open_) {
-        open_ = true;
-        openedAt_ = lastAt_;
+    ++inputCount_;
+    lastInputAt_ = clock_.now();
+    if (!isOpen_) {
+        isOpen_ = true;
+        openedAt_ = lastInputAt_;
         planner_.beginBatch(openedAt_);
-        gather();
+        waitForQuiet();
     }
     return planner_;
 }
 
-/// Waits until nothing has come for a while. Guards against a batch that closes in the middle of a report:
-/// its second half would be judged alone, and every report after it a period late.
-void BatchRunner::gather() {
-    gathered_.expires_after(std::min(lastAt_ + quiet_, openedAt_ + most_) - clock_.now());
-    gathered_.async_wait([this](const boost::system::error_code& error) {
+/// A batch must not close in the middle of a load report: its second half would be judged alone, and every later
+/// report one interval late.
+void BatchRunner::waitForQuiet() {
+    closeTimer_.expires_after(std::min(lastInputAt_ + quietPeriod_, openedAt_ + maxBatchAge_) - clock_.now());
+    closeTimer_.async_wait([this](const boost::system::error_code& error) {
         if (error) return;
         const Micros now = clock_.now();
-        if (now < lastAt_ + quiet_ && now < openedAt_ + most_)
-            gather();
+        if (now < lastInputAt_ + quietPeriod_ && now < openedAt_ + maxBatchAge_)
+            waitForQuiet();
         else
-            settle(kHopsMost);
+            drainReadyInputs(kMaxDrainTurns);
     });
 }
 
-/// After a stall much is waiting: as long as each turn of the loop brings something, it is taken in first.
-void BatchRunner::settle(int hops) {
-    if (inputs_ != settled_ && hops > 0) {
-        settled_ = inputs_;
-        boost::asio::post(io_, [this, hops] { settle(hops - 1); });
-        return;
-    }
-    open_ = false;
-    const Micros now = clock_.now(); // the batch is decided as of now, however long it took to gather
+/// After a stall much input is waiting: as long as each turn of the event loop brings some, it joins the batch.
+void BatchRunner::drainReadyInputs(int remainingTurns) {
+    if (inputCount_ == drainedInputCount_ || remainingTurns == 0) return closeBatch();
+    drainedInputCount_ = inputCount_;
+    boost::asio::post(io_, [this, remainingTurns] { drainReadyInputs(remainingTurns - 1); });
+}
+
+void BatchRunner::closeBatch() {
+    isOpen_ = false;
+    const Micros now =
+        clock_.now(); // the decision is made as of now, however long it took to gather the input
     counters_.checkInvariant(now >= openedAt_);
     counters_.add(Counter::Batches);
-    if (now - openedAt_ > most_ + kLate) counters_.add(Counter::LateBatches);
+    if (now - openedAt_ > maxBatchAge_ + kLateBatchMargin) counters_.add(Counter::LateBatches);
     planner_.beginBatch(now);
     planner_.decide();
-    book_.flush(now);
+    state_.flush(now);
 }
 
-void BatchRunner::scheduleWakeUp(Micros span) {
-    wake_.expires_after(std::max(span, Micros{1}));
-    wake_.async_wait([this](const boost::system::error_code& error) {
+void BatchRunner::scheduleWakeUp(Micros delay) {
+    wakeUpTimer_.expires_after(std::max(delay, Micros{1}));
+    wakeUpTimer_.async_wait([this](const boost::system::error_code& error) {
         if (!error) openBatch().timerExpired();
     });
 }
--- a/src/engine/batch_runner.h
+++ b/src/engine/batch_runner.h
@@ -1,5 +1,5 @@
-// The planner's clock and its batches: an input opens one, all that is ready is taken in, then it decides and
-// the orders go out. Also its wakes.
+// Runs the planner in batches: an input opens a batch, whatever else is ready joins it, and then the planner decides
+// once and the changes are flushed. Owns the planner's clock and its wake-up timer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,43 +13,50 @@
 
 namespace zincstack::net {
 
-/// Unix time at the start plus what has passed since on the steady clock, so that it only moves forward.
+/// Unix time at the start plus what has passed since on the steady clock, so that it never goes back.
 class Clock {
 public:
     Micros now() const {
-        return unixAtStart_ + std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now() - start_);
+        return unixTimeAtStart_ +
+               std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now() - start_);
     }
 
 private:
     std::chrono::steady_clock::time_point start_ = std::chrono::steady_clock::now();
-    Micros unixAtStart_ =
+    Micros unixTimeAtStart_ =
         std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
 };
 
 class BatchRunner {
 public:
-    BatchRunner(boost::asio::io_context& io, Planner& planner, routing::RoutingState& book,
+    BatchRunner(boost::asio::io_context& io, Planner& planner, routing::RoutingState& state,
                 Counters& counters, Micros tick);
 
-    /// The planner, in a batch that is open from now on and is decided once nothing more comes.
+    /// The planner, ready for input. Opens a batch if none is open; it is decided once no more input comes.
     Planner& openBatch();
-    void scheduleWakeUp(Micros span);
+    /// The planner's timer expires after the delay, in place of any wake-up scheduled before.
+    void scheduleWakeUp(Micros delay);
     Micros now() const { return clock_.now(); }
 
 private:
-    void gather();
-    void settle(int hops);
+    void waitForQuiet();
+    void drainReadyInputs(int remainingTurns);
+    void closeBatch();
 
     boost::asio::io_context& io_;
     Planner& planner_;
-    routing::RoutingState& book_;
+    routing::RoutingState& state_;
     Counters& counters_;
-    const Micros quiet_, most_;
+    const Micros quietPeriod_;
+    const Micros maxBatchAge_;
     const Clock clock_;
-    boost::asio::steady_timer gathered_, wake_;
-    bool open_ = false;
-    Micros openedAt_{}, lastAt_{};
-    std::uint64_t inputs_ = 0, settled_ = 0;
+    boost::asio::steady_timer closeTimer_;
+    boost::asio::steady_timer wakeUpTimer_;
+    bool isOpen_ = false;
+    Micros openedAt_{};
+    Micros lastInputAt_{};
+    std::uint64_t inputCount_ = 0;
+    std::uint64_t drainedInputCount_ = 0; ///< as of the previous turn of drainReadyInputs
 };
 
 } // namespace zincstack::net
--- a/src/platform/channel_statistics.cpp
+++ b/src/platform/channel_statistics.cpp
@@ -9,48 +9,50 @@
 
 namespace {
 
-constexpr Micros kTellEvery = std::chrono::seconds(1);
+constexpr Micros kLogInterval = std::chrono::seconds(1);
 
 } // namespace
 
 LineCounts& LineCounts::operator+=(const LineCounts& other) {
-    rows += other.rows;
-    withdrawals += other.withdrawals;
+    weights += other.weights;
+    exclusions += other.exclusions;
     readmissions += other.readmissions;
-    levels += other.levels;
+    admissionLimits += other.admissionLimits;
     framing += other.framing;
     return *this;
 }
 
-void ChannelStatistics::written(const LineCounts& lines) {
-    now_.lines += lines;
-    ++now_.messages;
+void ChannelStatistics::messageWritten(const LineCounts& lines) {
+    current_.lines += lines;
+    ++current_.messages;
 }
 
-void ChannelStatistics::sample(std::size_t unanswered) {
-    now_.mostUnanswered = std::max(now_.mostUnanswered, unanswered);
+void ChannelStatistics::sampleUnacknowledgedLines(std::size_t lines) {
+    current_.maxUnacknowledgedLines = std::max(current_.maxUnacknowledgedLines, lines);
 }
 
-bool ChannelStatistics::due(Micros now) const { return !now_.empty() && now - toldAt_ >= kTellEvery; }
-
-void ChannelStatistics::tell(Micros now, const Standing& standing) {
-    toldAt_ = now;
-    const Interval last = std::exchange(now_, {});
-    log::info("channel", {{"messages", last.messages},
-                          {"rows", last.lines.rows},
-                          {"withdrawals", last.lines.withdrawals},
-                          {"readmissions", last.lines.readmissions},
-                          {"levels", last.lines.levels},
-                          {"framing", last.lines.framing},
-                          {"answers", last.answers},
-                          {"unanswered", standing.unanswered},
-                          {"most_unanswered", last.mostUnanswered},
-                          {"held_back", standing.heldBack},
-                          {"joined", standing.joined},
-                          {"unbound", standing.unbound},
-                          {"streams_opened", last.opened},
-                          {"streams_ended", last.ended},
-                          {"taken_over", last.takenOver}});
+bool ChannelStatistics::isDue(Micros now) const {
+    return !current_.empty() && now - loggedAt_ >= kLogInterval;
+}
+
+void ChannelStatistics::logInterval(Micros now, const Gauges& gauges) {
+    loggedAt_ = now;
+    const Interval ended = std::exchange(current_, {});
+    log::info("channel", {{"messages", ended.messages},
+                          {"weights", ended.lines.weights},
+                          {"exclusions", ended.lines.exclusions},
+                          {"readmissions", ended.lines.readmissions},
+                          {"admission_limits", ended.lines.admissionLimits},
+                          {"framing", ended.lines.framing},
+                          {"acknowledgements", ended.acknowledgements},
+                          {"unacknowledged", gauges.unacknowledgedLines},
+                          {"max_unacknowledged", ended.maxUnacknowledgedLines},
+                          {"deferred", gauges.deferredLines},
+                          {"joined", gauges.joinedProxies},
+                          {"unassigned", gauges.unassignedProxies},
+                          {"streams_opened", ended.streamsOpened},
+                          {"streams_closed", ended.streamsClosed},
+                          {"streams_replaced", ended.streamsReplaced}});
 }
 
 } // namespace zincstack::net
--- a/src/platform/channel_statistics.h
+++ b/src/platform/channel_statistics.h
@@ -1,5 +1,5 @@
-// What went through the planner's channel, told to the log once a second while anything moves: how many lines of
-// which kind were written and answered, how many still have no answer, and how many streams opened and ended.
+// Statistics of the platform's push streams: lines written by kind, acknowledgements, opened and closed streams.
+// Logged once a second while there is any activity.
 #pragma once
 
 #include <cstddef>
@@ -9,47 +9,56 @@
 
 namespace zincstack::net {
 
-/// Lines of one message by kind, as the protocol counts them. The head of the message is not among them.
+/// Lines of messages by kind, as the protocol counts them, without the overhead of a message.
 struct LineCounts {
-    std::size_t rows = 0;         ///< servers with weights
-    std::size_t withdrawals = 0;  ///< servers that the proxy is to shut out
-    std::size_t readmissions = 0; ///< servers that it is to let back
-    std::size_t levels = 0;
-    std::size_t framing = 0; ///< `replace` and the mark
-    std::size_t total() const { return rows + withdrawals + readmissions + levels + framing; }
+    std::size_t weights = 0;
+    std::size_t exclusions = 0;
+    std::size_t readmissions = 0;
+    std::size_t admissionLimits = 0;
+    std::size_t framing = 0; ///< replacements of a table, and barriers
+
+    std::size_t total() const { return weights + exclusions + readmissions + admissionLimits + framing; }
     LineCounts& operator+=(const LineCounts& other);
 };
 
 class ChannelStatistics {
 public:
-    void written(const LineCounts& lines);
-    void answered() { ++now_.answers; }
-    void streamOpened() { ++now_.opened; }
-    void streamEnded() { ++now_.ended; }
-    void takenOver() { ++now_.takenOver; }
-
-    /// How things stand now.
-    struct Standing {
-        std::size_t unanswered = 0;          ///< lines that were written and may still wait in the channel
-        std::size_t heldBack = 0;            ///< lines that were ordered and wait for room
-        std::size_t joined = 0, unbound = 0; ///< proxies
+    void messageWritten(const LineCounts& lines);
+    void barrierAcknowledged() { ++current_.acknowledgements; }
+    void streamOpened() { ++current_.streamsOpened; }
+    void streamClosed() { ++current_.streamsClosed; }
+    void streamReplaced() { ++current_.streamsReplaced; }
+    /// Records the present number of unacknowledged lines; the maximum of an interval is logged.
+    void sampleUnacknowledgedLines(std::size_t lines);
+
+    /// What is logged as it is at the end of the interval.
+    struct Gauges {
+        std::size_t unacknowledgedLines = 0; ///< written, and may still wait in the channel
+        std::size_t deferredLines = 0;       ///< wait for capacity in the channel
+        std::size_t joinedProxies = 0;
+        std::size_t unassignedProxies = 0; ///< joined, but no table is assigned
     };
-    /// How many lines may still wait in the channel now; the most of an interval is told.
-    void sample(std::size_t unanswered);
-    /// A second has passed since the last event, and anything happened meanwhile.
-    bool due(Micros now) const;
+    /// Whether an interval has passed since the last log event and there was any activity.
+    bool isDue(Micros now) const;
     /// Logs the event `channel` and begins the next interval.
-    void tell(Micros now, const Standing& standing);
+    void logInterval(Micros now, const Gauges& gauges);
 
 private:
     struct Interval {
         LineCounts lines;
-        std::uint64_t messages = 0, answers = 0, opened = 0, ended = 0, takenOver = 0;
-        std::size_t mostUnanswered = 0;
-        bool empty() const { return messages + answers + opened + ended + takenOver == 0; }
+        std::uint64_t messages = 0;
+        std::uint64_t acknowledgements = 0;
+        std::uint64_t streamsOpened = 0;
+        std::uint64_t streamsClosed = 0;
+        std::uint64_t streamsReplaced = 0;
+        std::size_t maxUnacknowledgedLines = 0;
+
+        bool empty() const {
+            return messages + acknowledgements + streamsOpened + streamsClosed + streamsReplaced == 0;
+        }
     };
-    Interval now_;
-    Micros toldAt_{};
+    Interval current_;
+    Micros loggedAt_{};
 };
 
 } // namespace zincstack::net
--- a/src/platform/input_translator.cpp
+++ b/src/platform/input_translator.cpp
@@ -1,11 +1,11 @@
 #include "platform/input_translator.h"
 
-#include <algorithm>
-#include <cmath>
-#include <iterator>
+#include <string>
 #include <utility>
+#include <vector>
 
 #include "config/start_settings.h"
+#include "platform/endpoint_entry.h"
 
 namespace zincstack::net {
 
@@ -13,25 +13,111 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint32_t kTxnsMost = 10'000'000; // in one line of a report
-constexpr double kLoadMost = 1e9;               // of any figure of a load report
-constexpr Micros kSpanMost = 10min;             // that a line sums up; and a delay, a wait
+// Larger values are taken as corrupt: they would dominate the planner's sums.
+constexpr std::uint32_t kMaxRequestsPerReport = 10'000'000;
+constexpr double kMaxLoadValue = 1e9;
+constexpr Micros kMaxDuration = 10min;
+
+constexpr std::uint32_t kMaxId = 65535;
+
+std::optional<Micros> durationOf(const Message& message, std::string_view name) {
+    const auto duration = message.millis(name);
+    return duration && *duration <= kMaxDuration ? duration : std::nullopt;
+}
+
+struct RequestCounts {
+    std::uint32_t total = 0;
+    std::uint32_t failed = 0;
+};
+
+std::optional<RequestCounts> requestCountsOf(const Message& message) {
+    const auto total = message.count("tries", kMaxRequestsPerReport);
+    const auto failed = message.count("failed", kMaxRequestsPerReport);
+    if (!total || !failed) return {};
+    return RequestCounts{*total, *failed};
+}
+
+/// The fields of a message `outcomes`, before ids replace the names.
+struct OutcomeFields {
+    std::string_view zone;
+    std::string_view endpoint;
+    RequestCounts attempts;
+    Micros meanLatency{};
+    Micros interval{};
+};
+
+std::optional<OutcomeFields> readOutcomes(const Message& message) {
+    const auto zone = message.find("zone");
+    const auto endpoint = message.find("server");
+    const auto attempts = requestCountsOf(message);
+    const auto interval = durationOf(message, "span_ms");
+    if (!zone || !endpoint || !attempts || !interval || attempts->failed > attempts->total) return {};
+    // Without a success there is no latency to report.
+    const bool hasLatency = message.find("mean_ms") || attempts->total > attempts->failed;
+    const auto meanLatency = hasLatency ? durationOf(message, "mean_ms") : Micros{};
+    if (!meanLatency) return {};
+    return OutcomeFields{*zone, *endpoint, *attempts, *meanLatency, *interval};
+}
+
+/// The fields of a message `demand`, before ids replace the names.
+struct DemandFields {
+    std::string_view requestClass;
+    RequestCounts requests; ///< more may have failed than came, since failures count requests of before too
+    Micros interval{};
+};
+
+std::optional<DemandFields> readDemand(const Message& message) {
+    const auto requestClass = message.find("class");
+    const auto requests = requestCountsOf(message);
+    const auto interval = durationOf(message, "span_ms");
+    if (!requestClass || !requests || !interval) return {};
+    return DemandFields{*requestClass, *requests, *interval};
+}
+
+/// None if the text is not a list of names and numbers, such as `queue:7,util:0.61`.
+std::optional<LoadReport> parseLoadReport(std::string_view text, char nameEnd) {
+    LoadReport report;
+    bool valid = true;
+    eachPart(text, ',', [&](std::string_view pair) {
+        while (pair.starts_with(' ')) pair.remove_prefix(1);
+        const auto end = pair.find(nameEnd);
+        const auto value = end == std::string_view::npos ? std::nullopt : parseNumber(pair.substr(end + 1));
+        valid = valid && value && *value <= kMaxLoadValue;
+        if (valid) config::setLoadField(pair.substr(0, end), *value, report);
+    });
+    return valid ? std::optional(report) : std::nullopt;
+}
+
+/// The body of a probe's response: `TEXT inflight=7, queue=2`, with or without the prefix and a line end.
+std::optional<LoadReport> parseProbeBody(std::string_view body) {
+    constexpr std::string_view kPrefix = "TEXT ";
+    while (body.ends_with('\n') || body.ends_with('\r')) body.remove_suffix(1);
+    if (body.starts_with(kPrefix)) body.remove_prefix(kPrefix.size());
+    return parseLoadReport(body, '=');
+}
+
+Counter counterOf(ProbeStatus status) {
+    static constexpr Counter kCounters[] = {Counter::ProbesOk,          Counter::ProbesError,
+                                            Counter::ProbesRejected,    Counter::ProbesTimedOut,
+                                            Counter::ProbesUnreachable, Counter::ProbesBroken};
+    return kCounters[static_cast<std::size_t>(status)];
+}
 
 } // namespace
 
-InputTranslator::InputTranslator(BatchRunner& engine, routing::RoutingState& book, UpdateQueue& outbox,
-                                 NameRegistry& names, Counters& counters, std::uint32_t proxies)
-    : engine_(engine), book_(book), outbox_(outbox), names_(names), counters_(counters), proxies_(proxies) {}
+InputTranslator::InputTranslator(BatchRunner& batches, UpdateQueue& updates, NameRegistry& names,
+                                 Counters& counters, std::uint32_t proxyCount)
+    : batches_(batches), updates_(updates), names_(names), counters_(counters), proxyCount_(proxyCount) {}
 
 std::optional<ProxyId> InputTranslator::proxyOf(const Message& message) const {
-    const auto proxy = message.count("proxy", 65535);
-    if (!proxy || *proxy >= proxies_) return {};
+    const auto proxy = message.count("proxy", kMaxId);
+    if (!proxy || *proxy >= proxyCount_) return {};
     return ProxyId{static_cast<std::uint16_t>(*proxy)};
 }
 
 bool InputTranslator::agent(const Message& message) {
-    const auto name = message.find("zone");
-    if (!name || !names_.zone(*name)) {
+    const auto zone = message.find("zone");
+    if (!zone || !names_.zone(*zone)) {
         counters_.recordIgnored(Counter::BadName, "agent of a zone that is not known");
         return false;
     }
@@ -41,176 +127,108 @@
 
 std::optional<ProxyId> InputTranslator::hello(const Message& message, PushStream& stream) {
     const auto proxy = proxyOf(message);
-    const auto name = message.find("zone");
-    const auto zone = name ? names_.zone(*name) : std::nullopt;
+    const auto zoneName = message.find("zone");
+    const auto zone = zoneName ? names_.zone(*zoneName) : std::nullopt;
     const auto weight = message.number("weight");
     const auto fresh = message.flag("fresh");
     if (!proxy || !zone || !weight || !fresh) {
-        counters_.recordIgnored(proxy && name && !zone ? Counter::BadName : Counter::BadField, "hello");
+        const bool unknownZone = proxy && zoneName && !zone;
+        counters_.recordIgnored(unknownZone ? Counter::BadName : Counter::BadField, "hello");
         return {};
     }
     counters_.add(Counter::Hellos);
-    if (outbox_.sessionOpened(*proxy, *zone, stream)) counters_.add(Counter::Takeovers);
-    engine_.openBatch().proxyJoined(*proxy, *zone, *weight, *fresh);
+    if (updates_.sessionOpened(*proxy, *zone, stream)) counters_.add(Counter::Takeovers);
+    batches_.openBatch().proxyJoined(*proxy, *zone, *weight, *fresh);
     return proxy;
 }
 
-/// Guards against the late end of an old stream: only the end of a proxy's own one is its leaving.
-void InputTranslator::ended(ProxyId proxy, const PushStream& stream) {
-    if (!outbox_.sessionClosed(proxy, stream)) return;
+void InputTranslator::streamClosed(ProxyId proxy, const PushStream& stream) {
+    if (!updates_.sessionClosed(proxy, stream)) return;
     counters_.add(Counter::StreamsEnded);
-    engine_.openBatch().proxyLeft(proxy);
+    batches_.openBatch().proxyLeft(proxy);
 }
 
 void InputTranslator::ack(const Message& message, ProxyId proxy, const PushStream& stream) {
     const auto named = proxyOf(message);
-    const auto mark = message.count("mark", 65535);
-    if (!mark || !named || *named != proxy || !spanOf(message, "took_ms"))
+    const auto mark = message.count("mark", kMaxId);
+    if (!mark || !named || *named != proxy || !durationOf(message, "took_ms"))
         return counters_.recordIgnored(Counter::BadField, "ack");
-    if (!outbox_.ownsSession(proxy, stream)) return counters_.add(Counter::Stale);
-    if (!outbox_.barrierAcknowledged(proxy, {static_cast<std::uint16_t>(*mark)}))
+    if (!updates_.ownsSession(proxy, stream)) return counters_.add(Counter::Stale);
+    const BarrierId barrier{static_cast<std::uint16_t>(*mark)};
+    if (!updates_.barrierAcknowledged(proxy, barrier))
         return counters_.recordIgnored(Counter::BadMark, "no such mark waits for its answer");
     counters_.add(Counter::Acks);
-    engine_.openBatch().barrierAcknowledged(proxy, {static_cast<std::uint16_t>(*mark)});
+    batches_.openBatch().barrierAcknowledged(proxy, barrier);
 }
 
-std::optional<Micros> InputTranslator::spanOf(const Message& message, std::string_view name) {
-    const auto span = message.millis(name);
-    return span && *span <= kSpanMost ? span : std::nullopt;
-}
-
-/// Guards against reports that are spoilt: one field that can't be, and nothing of the line is believed.
 void InputTranslator::outcomes(const Message& message) {
-    const auto zoneName = message.find("zone"), serverName = message.find("server");
-    const auto tries = message.count("tries", kTxnsMost), failed = message.count("failed", kTxnsMost);
-    const auto span = spanOf(message, "span_ms");
-    const bool timed = message.find("mean_ms") || (tries && failed && *tries > *failed);
-    const auto mean = timed ? spanOf(message, "mean_ms") : Micros{};
-    if (!zoneName || !serverName || !tries || !failed || *failed > *tries || !span || !mean)
-        return counters_.recordIgnored(Counter::BadField, "outcomes");
-    const auto zone = names_.zone(*zoneName);
-    const auto server = names_.endpoint(*serverName);
-    if (!zone || !server) return counters_.recordIgnored(Counter::BadName, *serverName);
-    EndpointLoadReport line{*server, *zone, *tries, *failed, *mean, *span, {}};
-    if (const auto load = message.find("load")) {
-        const auto read = report(*load, ':', ',');
-        if (!read) return counters_.recordIgnored(Counter::BadField, *load);
-        line.load = *read;
+    const auto fields = readOutcomes(message);
+    if (!fields) return counters_.recordIgnored(Counter::BadField, "outcomes");
+    const auto zone = names_.zone(fields->zone);
+    const auto endpoint = names_.endpoint(fields->endpoint);
+    if (!zone || !endpoint) return counters_.recordIgnored(Counter::BadName, fields->endpoint);
+    EndpointLoadReport report{
+        *endpoint,        *zone, fields->attempts.total, fields->attempts.failed, fields->meanLatency,
+        fields->interval, {}};
+    if (const auto text = message.find("load")) {
+        const auto load = parseLoadReport(*text, ':');
+        if (!load) return counters_.recordIgnored(Counter::BadField, *text);
+        report.load = *load;
     }
     counters_.add(Counter::Outcomes);
-    engine_.openBatch().reportLoad(line);
+    batches_.openBatch().reportLoad(report);
 }
 
-void InputTranslator::demand(const Message& message, std::optional<ProxyId> stream) {
+void InputTranslator::demand(const Message& message, std::optional<ProxyId> sender) {
     const auto proxy = proxyOf(message);
-    const auto name = message.find("class");
-    const auto tries = message.count("tries", kTxnsMost), failed = message.count("failed", kTxnsMost);
-    const auto span = spanOf(message, "span_ms");
-    if (!proxy || (stream && *stream != *proxy) || !name || !tries || !failed ||
-        !span) // failed: of earlier tries too
-        return counters_.recordIgnored(Counter::BadField, "demand");
-    const auto product = names_.requestClass(*name);
-    if (!product) return counters_.recordIgnored(Counter::BadName, *name);
+    const auto fields = readDemand(message);
+    const bool ofAnotherProxy = sender && proxy && *sender != *proxy;
+    if (!proxy || ofAnotherProxy || !fields) return counters_.recordIgnored(Counter::BadField, "demand");
+    const auto requestClass = names_.requestClass(fields->requestClass);
+    if (!requestClass) return counters_.recordIgnored(Counter::BadName, fields->requestClass);
     counters_.add(Counter::Demands);
-    engine_.openBatch().reportDemand({*proxy, *product, *tries, *failed, *span});
+    batches_.openBatch().reportDemand(
+        {*proxy, *requestClass, fields->requests.total, fields->requests.failed, fields->interval});
 }
 
-/// Guards against one spoilt entry that keeps a drain beside it from being heard: the sound ones are passed on, and
-/// then as changes, since who is missing may be the one that can't be read.
-bool InputTranslator::list(EndpointListUpdate news, const json::Value& members) {
-    std::vector<EndpointUpdate> entries;
-    bool sound = true;
+bool InputTranslator::updateEndpoints(EndpointListUpdate kind, const json::Value& members) {
+    std::vector<EndpointUpdate> updates;
+    bool allValid = true;
     for (std::size_t k = 0; k < members.size(); ++k) {
-        EndpointUpdate one;
-        std::string_view address;
-        const json::Value& member = members[k];
-        const auto* name = json::textOf(member, "id");
-        if (const char* field = entry(member, one, address)) {
-            counters_.recordIgnored(Counter::BadEntry, "members[" + std::to_string(k) + "]" +
-                                                           (name ? " '" + *name + "'" : std::string{}) +
-                                                           ": the field " + field + " can't be used");
-            sound = false;
+        const auto parsed = parseEndpointEntry(members[k], names_);
+        if (const auto* invalid = std::get_if<InvalidField>(&parsed)) {
+            ignoreEntry(k, members[k], invalid->name);
+            allValid = false;
             continue;
         }
-        one.id = names_.registerEndpoint(*name);
-        if (!address.empty()) names_.setAddress(one.id, address);
-        entries.push_back(one);
+        const auto& entry = std::get<EndpointEntry>(parsed);
+        EndpointUpdate update = entry.update;
+        update.id = names_.registerEndpoint(entry.name);
+        if (!entry.address.empty()) names_.setAddress(update.id, entry.address);
+        updates.push_back(update);
     }
-    if (sound)
-        engine_.openBatch().updateEndpoints(news, entries);
-    else if (!entries.empty())
-        engine_.openBatch().updateEndpoints(
-            news == EndpointListUpdate::Snapshot ? EndpointListUpdate::Delta : news, entries);
-    return sound;
-}
-
-/// The field that can't be used; none where the entry is sound. One that is gone needs no more than its name.
-const char* InputTranslator::entry(const json::Value& member, EndpointUpdate& into,
-                                   std::string_view& address) {
-    static constexpr std::pair<std::string_view, EndpointState> kPhases[] = {
-        {"Gone", EndpointState::Removed},
-        {"Ready", EndpointState::Ready},
-        {"Terminating", EndpointState::Draining}};
-    const auto* name = json::textOf(member, "id");
-    const auto* phase = json::textOf(member, "phase");
-    if (!name || name->empty()) return "id";
-    if (!phase) return "phase";
-    const auto state = std::ranges::find(kPhases, *phase, &std::pair<std::string_view, EndpointState>::first);
-    if (state == std::end(kPhases)) return "phase";
-    into.state = state->second;
-    const bool gone = into.state == EndpointState::Removed;
-
-    if (const auto* text = json::textOf(member, "host_port"))
-        address = *text;
-    else if (!gone)
-        return "host_port";
-    const auto* locality = json::textOf(member, "locality");
-    const auto zone = locality ? names_.zone(*locality) : std::nullopt;
-    if (zone)
-        into.zone = *zone;
-    else if (!gone)
-        return "locality";
-    const auto figure = [&](const char* field, double absent) -> std::optional<double> {
-        const json::Value& value = json::member(member, field);
-        if (value.is_null()) return absent;
-        const double out = value.is_number() ? value.get<double>() : -1;
-        return std::isfinite(out) && out >= 0 ? std::optional(out) : std::nullopt;
-    };
-    constexpr double kMillisMost = 1e13;
-    const auto since = figure("up_since_ms", 0), size = figure("size", 1), pod = figure("cell", 0);
-    if (!since || *since > kMillisMost) return "up_since_ms";
-    if (!size) return "size";
-    if (!pod || *pod > 65535) return "cell";
-    into.startedAt = Micros(std::llround(*since * 1e3));
-    into.weight = *size;
-    into.pod = {static_cast<std::uint16_t>(*pod)};
-    return nullptr;
-}
-
-std::optional<LoadReport> InputTranslator::report(std::string_view text, char pairMark, char separator) {
-    LoadReport out;
-    bool sound = true;
-    eachPart(text, separator, [&](std::string_view pair) {
-        while (pair.starts_with(' ')) pair.remove_prefix(1);
-        const auto mark = pair.find(pairMark);
-        const auto value = mark == std::string_view::npos ? std::nullopt : parseNumber(pair.substr(mark + 1));
-        sound = sound && value && *value <= kLoadMost;
-        if (sound) config::setLoadField(pair.substr(0, mark), *value, out);
-    });
-    return sound ? std::optional(out) : std::nullopt;
+    if (allValid)
+        batches_.openBatch().updateEndpoints(kind, updates);
+    else if (!updates.empty())
+        batches_.openBatch().updateEndpoints(
+            kind == EndpointListUpdate::Snapshot ? EndpointListUpdate::Delta : kind, updates);
+    return allValid;
 }
 
-void InputTranslator::probed(EndpointId server, ProbeStatus status, Micros delay, std::string_view body) {
-    constexpr std::string_view kTextForm = "TEXT ";
-    static constexpr Counter kCounts[] = {Counter::ProbesOk,          Counter::ProbesError,
-                                          Counter::ProbesRejected,    Counter::ProbesTimedOut,
-                                          Counter::ProbesUnreachable, Counter::ProbesBroken};
-    counters_.add(kCounts[static_cast<std::size_t>(status)]);
-    while (body.ends_with('\n') || body.ends_with('\r')) body.remove_suffix(1);
-    if (body.starts_with(kTextForm)) body.remove_prefix(kTextForm.size());
-    const auto load = report(body, '=', ',');
+void InputTranslator::ignoreEntry(std::size_t index, const json::Value& member,
+                                  std::string_view invalidField) {
+    std::string text = "members[" + std::to_string(index) + "]";
+    if (const auto* name = json::textOf(member, "id")) text += " '" + *name + "'";
+    text.append(": the field ").append(invalidField).append(" can't be used");
+    counters_.recordIgnored(Counter::BadEntry, text);
+}
+
+void InputTranslator::probeCompleted(EndpointId endpoint, ProbeStatus status, Micros latency,
+                                     std::string_view body) {
+    counters_.add(counterOf(status));
+    const auto load = parseProbeBody(body);
     if (!load) counters_.recordIgnored(Counter::BadField, "load of a probe");
-    engine_.openBatch().probeCompleted({server, status, delay, load.value_or(LoadReport{})});
+    batches_.openBatch().probeCompleted({endpoint, status, latency, load.value_or(LoadReport{})});
 }
 
 } // namespace zincstack::net
--- a/src/platform/input_translator.h
+++ b/src/platform/input_translator.h
@@ -1,9 +1,9 @@
-// From messages to the planner's inputs: checks what came, puts ids for names, and passes it on.
+// Translates what arrives from proxies, collectors, discovery and probes into the planner's inputs: validates it,
+// replaces names by ids and passes it on within an open batch. An invalid message is counted and ignored as a whole.
 #pragma once
 
-#include <string>
+#include <optional>
 #include <string_view>
-#include <vector>
 
 #include "engine/batch_runner.h"
 #include "metrics/counters.h"
@@ -16,34 +16,36 @@
 
 class InputTranslator {
 public:
-    InputTranslator(BatchRunner& engine, routing::RoutingState& book, UpdateQueue& outbox,
-                    NameRegistry& names, Counters& counters, std::uint32_t proxies);
+    InputTranslator(BatchRunner& batches, UpdateQueue& updates, NameRegistry& names, Counters& counters,
+                    std::uint32_t proxyCount);
 
+    // Messages of the platform protocol, by kind.
+
+    /// False if the message is invalid.
     bool agent(const Message& message);
-    /// The proxy that has joined by this stream; none if the message can't be used.
+    /// The proxy whose session the stream has become; none if the message is invalid.
     std::optional<ProxyId> hello(const Message& message, PushStream& stream);
-    void ended(ProxyId proxy, const PushStream& stream);
     void ack(const Message& message, ProxyId proxy, const PushStream& stream);
     void outcomes(const Message& message);
-    /// `stream`: the proxy on whose own stream it came; none if a collector brought it.
-    void demand(const Message& message, std::optional<ProxyId> stream);
-    /// False where an entry can't be used: the others were passed on, as changes.
-    bool list(EndpointListUpdate news, const json::Value& members);
-    void probed(EndpointId server, ProbeStatus status, Micros delay, std::string_view body);
+    /// `sender`: the proxy on whose stream the message came; none if a collector sent it.
+    void demand(const Message& message, std::optional<ProxyId> sender);
+
+    /// The stream of a proxy has ended. Ignored if the proxy has a newer one.
+    void streamClosed(ProxyId proxy, const PushStream& stream);
+    /// False if some entry is invalid. The valid ones are passed on nevertheless, then at most as a delta, since an
+    /// endpoint that seems missing from a snapshot may be one that can't be read.
+    bool updateEndpoints(EndpointListUpdate kind, const json::Value& members);
+    void probeCompleted(EndpointId endpoint, ProbeStatus status, Micros latency, std::string_view body);
 
 private:
     std::optional<ProxyId> proxyOf(const Message& message) const;
-    const char* entry(const json::Value& member, EndpointUpdate& into, std::string_view& address);
-    static std::optional<Micros> spanOf(const Message& message, std::string_view name);
-    /// None where a figure is none.
-    static std::optional<LoadReport> report(std::string_view text, char pairMark, char separator);
-
-    BatchRunner& engine_;
-    routing::RoutingState& book_;
-    UpdateQueue& outbox_;
+    void ignoreEntry(std::size_t index, const json::Value& member, std::string_view invalidField);
+
+    BatchRunner& batches_;
+    UpdateQueue& updates_;
     NameRegistry& names_;
     Counters& counters_;
-    const std::uint32_t proxies_;
+    const std::uint32_t proxyCount_;
 };
 
 } // namespace zincstack::net
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -6,33 +6,40 @@
 
 namespace zincstack::net {
 
+namespace {
+
+constexpr double kMaxMillis = 1e12; // keeps the value in microseconds within 64 bits
+
+} // namespace
+
 std::optional<double> parseNumber(std::string_view text) {
-    double out = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out);
-    if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(out) || out < 0) return {};
-    return out;
+    const char* const textEnd = text.data() + text.size();
+    double number = 0;
+    const auto [end, error] = std::from_chars(text.data(), textEnd, number);
+    if (error != std::errc{} || end != textEnd || !std::isfinite(number) || number < 0) return {};
+    return number;
 }
 
 std::optional<Message> parseMessage(std::string_view line) {
-    Message out;
-    bool whole = true;
+    Message message;
+    bool valid = true;
     eachPart(line, ' ', [&](std::string_view word) {
         const auto equals = word.find('=');
-        if (out.kind.empty())
-            out.kind = word;
+        if (message.kind.empty())
+            message.kind = word;
         else if (equals == std::string_view::npos || equals == 0)
-            whole = false;
+            valid = false;
         else
-            out.words.emplace_back(word.substr(0, equals), word.substr(equals + 1));
+            message.fields.push_back({word.substr(0, equals), word.substr(equals + 1)});
     });
-    if (!whole || out.kind.empty()) return {};
-    return out;
+    if (!valid || message.kind.empty()) return {};
+    return message;
 }
 
 std::optional<std::string_view> Message::find(std::string_view name) const {
-    const auto at = std::ranges::find(words, name, &decltype(words)::value_type::first);
-    if (at == words.end()) return {};
-    return at->second;
+    const auto found = std::ranges::find(fields, name, &Field::name);
+    if (found == fields.end()) return {};
+    return found->value;
 }
 
 std::optional<double> Message::number(std::string_view name) const {
@@ -40,16 +47,15 @@
     return text ? parseNumber(*text) : std::nullopt;
 }
 
-std::optional<std::uint32_t> Message::count(std::string_view name, std::uint32_t most) const {
+std::optional<std::uint32_t> Message::count(std::string_view name, std::uint32_t max) const {
     const auto value = number(name);
-    if (!value || *value > most || *value != std::floor(*value)) return {};
+    if (!value || *value > max || *value != std::floor(*value)) return {};
     return static_cast<std::uint32_t>(*value);
 }
 
 std::optional<Micros> Message::millis(std::string_view name) const {
-    constexpr double kMillisMost = 1e12;
     const auto value = number(name);
-    if (!value || *value > kMillisMost) return {};
+    if (!value || *value > kMaxMillis) return {};
     return Micros(std::llround(*value * 1e3));
 }
 
--- a/src/platform/peer_session.cpp
+++ b/src/platform/peer_session.cpp
@@ -8,97 +8,111 @@
 
 namespace {
 
-constexpr std::size_t kStrangersLineMost = 1024;
+/// Enough for `agent` and `hello`; a peer that is not identified gets no more memory than that.
+constexpr std::size_t kMaxUnidentifiedLineBytes = 1024;
 
-/// The kinds of the protocol; those after `demand` are never said to a planner, or not on this road.
-constexpr std::string_view kWords[] = {"probe", "agent", "hello", "ack",  "outcomes", "demand", "push",
-                                       "alive", "error", "hot",   "line", "lease",    "bye"};
+/// The protocol's kinds of messages, in the order of PeerSession::Input. Those after `demand` are never sent to a
+/// planner, or not on this connection.
+constexpr std::string_view kMessageKinds[] = {"probe", "agent", "hello", "ack",  "outcomes", "demand", "push",
+                                              "alive", "error", "hot",   "line", "lease",    "bye"};
+
+bool beginsMessageKind(std::string_view text) {
+    return std::ranges::any_of(kMessageKinds, [&](auto kind) { return kind.starts_with(text); });
+}
 
 } // namespace
 
-const PeerSession::Row PeerSession::kRows[] = {
-    {State::Any, Word::Probe, State::Any, Effect::Alive},
-    {State::Stranger, Word::Agent, State::Collector, Effect::Name},
-    {State::Stranger, Word::Hello, State::Stream, Effect::Join},
-    {State::Stranger, Word::Any, State::Refused, Effect::Refuse},
-    {State::Any, Word::Late, State::Any, Effect::Nothing},
-    {State::Any, Word::Unreadable, State::Gone, Effect::Leave},
-    {State::Collector, Word::Outcomes, State::Collector, Effect::Sums},
-    {State::Collector, Word::Demand, State::Collector, Effect::Usage},
-    {State::Stream, Word::Demand, State::Stream, Effect::Usage},
-    {State::Stream, Word::Ack, State::Stream, Effect::Applied},
-    {State::Any, Word::Any, State::Any, Effect::PassOver},
+/// The first transition that matches the state and the input applies.
+const PeerSession::Transition PeerSession::kTransitions[] = {
+    {State::Any, Input::Probe, State::Any, Action::AnswerProbe},
+    {State::Unidentified, Input::Agent, State::Collector, Action::IdentifyCollector},
+    {State::Unidentified, Input::Hello, State::ProxyStream, Action::JoinProxy},
+    {State::Unidentified, Input::Any, State::Rejected, Action::Reject},
+    {State::Any, Input::JoinDeadline, State::Any, Action::None},
+    {State::Any, Input::Unreadable, State::Closed, Action::Close},
+    {State::Collector, Input::Outcomes, State::Collector, Action::ReportLoad},
+    {State::Collector, Input::Demand, State::Collector, Action::ReportDemand},
+    {State::ProxyStream, Input::Demand, State::ProxyStream, Action::ReportDemand},
+    {State::ProxyStream, Input::Ack, State::ProxyStream, Action::AcknowledgeBarrier},
+    {State::Any, Input::Any, State::Any, Action::IgnoreMessage},
 };
 
-PeerSession::PeerSession(InputTranslator& intake, Counters& counters, BufferPool& pool, PushStream& stream,
-                         std::function<void()> alive)
-    : intake_(intake), counters_(counters), stream_(stream), alive_(std::move(alive)), framer_(pool) {}
+PeerSession::PeerSession(InputTranslator& inputs, Counters& counters, BufferPool& pool, PushStream& stream,
+                         std::function<void()> answerProbe)
+    : inputs_(inputs), counters_(counters), stream_(stream), answerProbe_(std::move(answerProbe)),
+      framer_(pool) {}
 
-/// Guards against a stream that goes on with what is no message at all: its proxy counts as left from then
-/// on and dials again once this end is closed. What begins like no message is not waited for.
 bool PeerSession::feed(std::string_view bytes) {
     counters_.add(Counter::BytesIn, bytes.size());
-    const auto most = [this] { return stranger() ? kStrangersLineMost : kLineBytesMost; };
-    switch (framer_.feed(bytes, most, [this](std::string_view text) { return line(text); })) {
+    const auto maxLineBytes = [this] {
+        return isUnidentified() ? kMaxUnidentifiedLineBytes : kLineBytesMost;
+    };
+    switch (framer_.feed(bytes, maxLineBytes, [this](std::string_view line) { return handleLine(line); })) {
     case LineFramer::Outcome::Going: {
-        const auto begun = framer_.begun().substr(0, framer_.begun().find_first_of(" \r"));
-        if (std::ranges::any_of(kWords, [&](auto word) { return word.starts_with(begun); })) return true;
-        return said(Word::Unreadable, {}, begun);
+        // A line that can't become a message is not waited for.
+        const auto kind = framer_.begun().substr(0, framer_.begun().find_first_of(" \r"));
+        return beginsMessageKind(kind) || handleUnreadable(kind);
     }
     case LineFramer::Outcome::Stopped: return false;
-    case LineFramer::Outcome::Unreadable: return said(Word::Unreadable, {}, "bytes that are no text");
+    case LineFramer::Outcome::Unreadable: return handleUnreadable("bytes that are no text");
     case LineFramer::Outcome::TooLong:
         counters_.recordIgnored(Counter::TooLong, "a line over its limit");
-        return said(Word::Unreadable, {}, "no end of a line");
+        return handleUnreadable("no end of a line");
     case LineFramer::Outcome::NoRoom:
         counters_.recordIgnored(Counter::NoRoom, "no buffer is left for a line");
-        return said(Word::Unreadable, {}, "no room");
+        return handleUnreadable("no room");
     }
     return false;
 }
 
-bool PeerSession::mayStay() { return said(Word::Late, {}, "nothing that joins within its time"); }
+bool PeerSession::joinDeadlineExpired() {
+    return handle(Input::JoinDeadline, {}, "nothing that joins within its time");
+}
 
-void PeerSession::ended() {
-    if (proxy_) intake_.ended(*proxy_, stream_);
+void PeerSession::connectionClosed() {
+    if (proxy_) inputs_.streamClosed(*proxy_, stream_);
     proxy_.reset();
 }
 
-bool PeerSession::line(std::string_view text) {
+bool PeerSession::handleLine(std::string_view line) {
     counters_.add(Counter::LinesIn);
-    const auto message = parseMessage(text);
-    const auto* const word = message ? std::ranges::find(kWords, message->kind) : std::end(kWords);
-    if (word == std::end(kWords)) {
-        counters_.recordIgnored(message ? Counter::BadKind : Counter::BadLine, text);
-        return said(Word::Unreadable, {}, text);
+    const auto message = parseMessage(line);
+    const auto* const kind =
+        message ? std::ranges::find(kMessageKinds, message->kind) : std::end(kMessageKinds);
+    if (kind == std::end(kMessageKinds)) {
+        counters_.recordIgnored(message ? Counter::BadKind : Counter::BadLine, line);
+        return handleUnreadable(line);
     }
-    return said(std::min(static_cast<Word>(word - std::begin(kWords)), Word::Other), *message, text);
+    const auto input = static_cast<Input>(kind - std::begin(kMessageKinds));
+    return handle(std::min(input, Input::OtherMessage), *message, line);
 }
 
-/// False: nothing more is taken.
-bool PeerSession::said(Word word, const Message& message, std::string_view text) {
-    const auto* const row = std::ranges::find_if(kRows, [&](const Row& one) {
-        return (one.word == word || one.word == Word::Any) &&
-               (one.state == state_ || one.state == State::Any);
+bool PeerSession::handleUnreadable(std::string_view text) { return handle(Input::Unreadable, {}, text); }
+
+/// False: no more input is accepted.
+bool PeerSession::handle(Input input, const Message& message, std::string_view text) {
+    const auto* const transition = std::ranges::find_if(kTransitions, [&](const Transition& candidate) {
+        return (candidate.input == input || candidate.input == Input::Any) &&
+               (candidate.state == state_ || candidate.state == State::Any);
     });
-    if (!act(row->effect, message, text)) return said(Word::Unusable, message, text);
-    if (row->next != State::Any) state_ = row->next;
-    return open();
+    if (!perform(transition->action, message, text)) return handle(Input::InvalidMessage, message, text);
+    if (transition->next != State::Any) state_ = transition->next;
+    return isOpen();
 }
 
-/// False where the message can't be used.
-bool PeerSession::act(Effect effect, const Message& message, std::string_view text) {
-    switch (effect) {
-    case Effect::Nothing: return true;
-    case Effect::Alive: alive_(); return true;
-    case Effect::Name: return intake_.agent(message);
-    case Effect::Join: proxy_ = intake_.hello(message, stream_); return proxy_.has_value();
-    case Effect::Applied: intake_.ack(message, *proxy_, stream_); return true;
-    case Effect::Sums: intake_.outcomes(message); return true;
-    case Effect::Usage: intake_.demand(message, proxy_); return true;
-    case Effect::PassOver: counters_.recordIgnored(Counter::OutOfPlace, text); return true;
-    case Effect::Refuse: counters_.recordIgnored(Counter::RefusedStranger, text); return true;
-    case Effect::Leave: counters_.recordIgnored(Counter::Unreadable, text); return true;
+/// False if the message is invalid.
+bool PeerSession::perform(Action action, const Message& message, std::string_view text) {
+    switch (action) {
+    case Action::None: return true;
+    case Action::AnswerProbe: answerProbe_(); return true;
+    case Action::IdentifyCollector: return inputs_.agent(message);
+    case Action::JoinProxy: proxy_ = inputs_.hello(message, stream_); return proxy_.has_value();
+    case Action::AcknowledgeBarrier: inputs_.ack(message, *proxy_, stream_); return true;
+    case Action::ReportLoad: inputs_.outcomes(message); return true;
+    case Action::ReportDemand: inputs_.demand(message, proxy_); return true;
+    case Action::IgnoreMessage: counters_.recordIgnored(Counter::OutOfPlace, text); return true;
+    case Action::Reject: counters_.recordIgnored(Counter::RefusedStranger, text); return true;
+    case Action::Close: counters_.recordIgnored(Counter::Unreadable, text); return true;
     }
     return false;
 }
--- a/src/platform/peer_session.h
+++ b/src/platform/peer_session.h
@@ -1,6 +1,8 @@
-// One peer's side of the protocol: what it may say, and what follows. Fed bytes; knows no socket.
+// The planner's side of one connection of the platform protocol: a state machine that frames and checks what the peer
+// sends and passes it to the InputTranslator. It is fed bytes and knows no socket.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <optional>
 #include <string_view>
@@ -14,45 +16,71 @@
 
 class PeerSession {
 public:
-    /// `alive` is called for each probe of the peer.
-    PeerSession(InputTranslator& intake, Counters& counters, BufferPool& pool, PushStream& stream,
-                std::function<void()> alive);
+    /// `answerProbe` is called for each `probe` of the peer.
+    PeerSession(InputTranslator& inputs, Counters& counters, BufferPool& pool, PushStream& stream,
+                std::function<void()> answerProbe);
 
-    /// False: nothing more is taken on this connection.
+    /// False: no more input is accepted, and the connection is to be closed.
     bool feed(std::string_view bytes);
-    /// The time to join is over. False: it has not, and nothing more is taken.
-    bool mayStay();
-    /// The connection has ended.
-    void ended();
+    /// The time to identify itself is over. False if the peer has not done so.
+    bool joinDeadlineExpired();
+    void connectionClosed();
+
+    /// The proxy whose stream this is; none for a collector, and before `hello`.
     std::optional<ProxyId> proxy() const { return proxy_; }
-    /// It has said nothing yet that makes it a collector or a proxy.
-    bool stranger() const { return state_ == State::Stranger; }
-    /// It never joined, and is to be told `error` before the close.
-    bool refused() const { return state_ == State::Refused; }
+    /// Whether the peer has not yet identified itself as a collector or a proxy.
+    bool isUnidentified() const { return state_ == State::Unidentified; }
+    /// Whether the peer was rejected instead of identified; it is sent `error` before the close.
+    bool isRejected() const { return state_ == State::Rejected; }
 
 private:
-    enum class State { Stranger, Collector, Stream, Refused, Gone, Any };
-    enum class Word { Probe, Agent, Hello, Ack, Outcomes, Demand, Other, Unusable, Unreadable, Late, Any };
-    enum class Effect { Nothing, Alive, Name, Join, Applied, Sums, Usage, PassOver, Refuse, Leave };
-    struct Row {
+    enum class State : std::uint8_t { Unidentified, Collector, ProxyStream, Rejected, Closed, Any };
+    /// What happens on the connection. The kinds of messages come first, in the order of kMessageKinds.
+    enum class Input : std::uint8_t {
+        Probe,
+        Agent,
+        Hello,
+        Ack,
+        Outcomes,
+        Demand,
+        OtherMessage,
+        InvalidMessage, ///< of a known kind, but not usable
+        Unreadable,
+        JoinDeadline,
+        Any
+    };
+    enum class Action : std::uint8_t {
+        None,
+        AnswerProbe,
+        IdentifyCollector,
+        JoinProxy,
+        AcknowledgeBarrier,
+        ReportLoad,
+        ReportDemand,
+        IgnoreMessage,
+        Reject,
+        Close
+    };
+    struct Transition {
         State state;
-        Word word;
-        State next;
-        Effect effect;
+        Input input;
+        State next; ///< Any: the state stays
+        Action action;
     };
-    static const Row kRows[];
+    static const Transition kTransitions[];
 
-    bool line(std::string_view text);
-    bool said(Word word, const Message& message, std::string_view text);
-    bool act(Effect effect, const Message& message, std::string_view text);
-    bool open() const { return state_ != State::Refused && state_ != State::Gone; }
+    bool handleLine(std::string_view line);
+    bool handleUnreadable(std::string_view text);
+    bool handle(Input input, const Message& message, std::string_view text);
+    bool perform(Action action, const Message& message, std::string_view text);
+    bool isOpen() const { return state_ != State::Rejected && state_ != State::Closed; }
 
-    InputTranslator& intake_;
+    InputTranslator& inputs_;
     Counters& counters_;
     PushStream& stream_;
-    std::function<void()> alive_;
+    std::function<void()> answerProbe_;
     LineFramer framer_;
-    State state_ = State::Stranger;
+    State state_ = State::Unidentified;
     std::optional<ProxyId> proxy_;
 };
 
--- a/src/platform/prober.cpp
+++ b/src/platform/prober.cpp
@@ -18,56 +18,59 @@
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kBodyMost = 64 * 1024;
-constexpr Micros kAnswerMost = 500ms;  // no answer after that
-constexpr Micros kConnectMost = 250ms; // where the start terms tell none
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;
+constexpr Micros kResponseTimeout = 500ms;
+constexpr Micros kDefaultConnectTimeout = 250ms;
+constexpr int kHttpOk = 200;
 
 } // namespace
 
-Prober::Prober(asio::io_context& io, const NameRegistry& names, InputTranslator& intake, Counters& counters,
-               BufferPool& pool, std::size_t atOnceMost, Micros connectMost, bool reports)
-    : io_(io), names_(names), intake_(intake), counters_(counters), pool_(pool), atOnceMost_(atOnceMost),
-      connectMost_(connectMost > 0s ? connectMost : kConnectMost), path_(reports ? "/-/load" : "/-/healthy") {
-}
+Prober::Prober(asio::io_context& io, const NameRegistry& names, InputTranslator& inputs, Counters& counters,
+               BufferPool& buffers, std::size_t maxConcurrentProbes, Micros connectTimeout, bool reportsLoad)
+    : io_(io), names_(names), inputs_(inputs), counters_(counters), buffers_(buffers),
+      maxConcurrentProbes_(maxConcurrentProbes),
+      connectTimeout_(connectTimeout > 0s ? connectTimeout : kDefaultConnectTimeout),
+      path_(reportsLoad ? "/-/load" : "/-/healthy") {}
 
-void Prober::probe(EndpointId server) { asio::co_spawn(io_, run(server), rethrow); }
+void Prober::probe(EndpointId endpoint) { asio::co_spawn(io_, run(endpoint), rethrow); }
 
-/// Starts in a turn of its own: the order comes from inside a decision, and no result may come back there.
-asio::awaitable<void> Prober::run(EndpointId server) {
+asio::awaitable<void> Prober::run(EndpointId endpoint) {
+    // The planner asks from within a decision, and no result may reach it before the decision is complete.
     co_await asio::post(io_, asio::use_awaitable);
-    if (running_ >= atOnceMost_) {
-        intake_.probed(server, ProbeStatus::Rejected, 0s, {});
+    if (runningProbes_ >= maxConcurrentProbes_) {
+        inputs_.probeCompleted(endpoint, ProbeStatus::Rejected, 0s, {});
         co_return;
     }
-    ++running_;
+    ++runningProbes_;
     counters_.add(Counter::ProbesSent);
     const auto start = Steady::now();
-    const Found seen = co_await ask(names_.address(server), start + kAnswerMost);
-    --running_;
-    intake_.probed(server, seen.status, std::chrono::duration_cast<Micros>(Steady::now() - start), seen.body);
+    const Result result = co_await request(names_.address(endpoint), start + kResponseTimeout);
+    --runningProbes_;
+    const auto latency = std::chrono::duration_cast<Micros>(Steady::now() - start);
+    inputs_.probeCompleted(endpoint, result.status, latency, result.body);
 }
 
-asio::awaitable<Prober::Found> Prober::ask(std::string address, Steady::time_point until) {
-    const auto at = parseAddress(address);
+asio::awaitable<Prober::Result> Prober::request(std::string address, Steady::time_point deadline) {
+    const auto endpoint = parseAddress(address);
     asio::ip::tcp::socket socket(io_);
-    if (!at || co_await connectTo(socket, *at, std::min(connectMost_, kAnswerMost)))
-        co_return Found{ProbeStatus::Unreachable, {}};
-    const auto block = pool_.take();
-    if (!block) co_return Found{ProbeStatus::Rejected, {}};
-    const std::string request =
+    if (!endpoint || co_await connectTo(socket, *endpoint, std::min(connectTimeout_, kResponseTimeout)))
+        co_return Result{ProbeStatus::Unreachable, {}};
+    const auto buffer = buffers_.take();
+    if (!buffer) co_return Result{ProbeStatus::Rejected, {}};
+    const std::string text =
         "GET " + path_ + " HTTP/1.1\r\nHost: " + address + "\r\nConnection: close\r\n\r\n";
-    if (co_await writeAll(socket, request)) co_return Found{ProbeStatus::ProtocolError, {}};
-    HttpResponse response(kBodyMost);
+    if (co_await writeAll(socket, text)) co_return Result{ProbeStatus::ProtocolError, {}};
+    HttpResponse response(kMaxBodyBytes);
     while (!response.done() && !response.broken()) {
         boost::system::error_code error;
-        const std::size_t got = co_await readPiece(socket, block, until, error);
-        if (error == asio::error::timed_out) co_return Found{ProbeStatus::TimedOut, {}};
-        response.feed({block.data(), got});
+        const std::size_t size = co_await readPiece(socket, buffer, deadline, error);
+        if (error == asio::error::timed_out) co_return Result{ProbeStatus::TimedOut, {}};
+        response.feed({buffer.data(), size});
         if (error) response.ended();
     }
-    if (response.broken()) co_return Found{ProbeStatus::ProtocolError, {}};
-    if (response.status() == 200) co_return Found{ProbeStatus::Answered, response.body()};
-    co_return Found{response.neverRan() ? ProbeStatus::Rejected : ProbeStatus::Error, {}};
+    if (response.broken()) co_return Result{ProbeStatus::ProtocolError, {}};
+    if (response.status() == kHttpOk) co_return Result{ProbeStatus::Answered, response.body()};
+    co_return Result{response.neverRan() ? ProbeStatus::Rejected : ProbeStatus::Error, {}};
 }
 
 } // namespace zincstack::net
--- a/src/platform/prober.h
+++ b/src/platform/prober.h
@@ -1,4 +1,4 @@
-// Probes servers where the planner wants it: one call, one result.
+// Sends health checks to endpoints when the planner asks for them: one HTTP request and one result each.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,28 +15,31 @@
 
 class Prober {
 public:
-    Prober(boost::asio::io_context& io, const NameRegistry& names, InputTranslator& intake,
-           Counters& counters, BufferPool& pool, std::size_t atOnceMost, Micros connectMost, bool reports);
-    void probe(EndpointId server);
+    /// A `connectTimeout` of 0 means the default. `reportsLoad`: endpoints answer with a load report.
+    Prober(boost::asio::io_context& io, const NameRegistry& names, InputTranslator& inputs,
+           Counters& counters, BufferPool& buffers, std::size_t maxConcurrentProbes, Micros connectTimeout,
+           bool reportsLoad);
+    /// The result goes to the InputTranslator, never before this call returns.
+    void probe(EndpointId endpoint);
 
 private:
-    struct Found {
+    using Steady = std::chrono::steady_clock;
+    struct Result {
         ProbeStatus status;
         std::string body;
     };
-    boost::asio::awaitable<void> run(EndpointId server);
-    using Steady = std::chrono::steady_clock;
-    boost::asio::awaitable<Found> ask(std::string address, Steady::time_point until);
+    boost::asio::awaitable<void> run(EndpointId endpoint);
+    boost::asio::awaitable<Result> request(std::string address, Steady::time_point deadline);
 
     boost::asio::io_context& io_;
     const NameRegistry& names_;
-    InputTranslator& intake_;
+    InputTranslator& inputs_;
     Counters& counters_;
-    BufferPool& pool_;
-    const std::size_t atOnceMost_;
-    const Micros connectMost_;
+    BufferPool& buffers_;
+    const std::size_t maxConcurrentProbes_;
+    const Micros connectTimeout_;
     const std::string path_;
-    std::size_t running_ = 0;
+    std::size_t runningProbes_ = 0;
 };
 
 } // namespace zincstack::net
--- a/src/platform/push_encoder.cpp
+++ b/src/platform/push_encoder.cpp
@@ -3,104 +3,139 @@
 #include <algorithm>
 #include <array>
 #include <charconv>
+#include <utility>
 
 namespace zincstack::net {
 
 namespace {
 
-constexpr std::size_t kRowBytesMost = 512 * 1024; // of one part, so that a line stays well under its limit
+/// Weights of one part, which keeps a line well below kLineBytesMost.
+constexpr std::size_t kMaxWeightBytesPerPart = 512 * 1024;
 
-std::string numberText(double value) {
-    std::array<char, 64> room{};
-    const auto end = std::to_chars(room.data(), room.data() + room.size(), static_cast<float>(value),
-                                   std::chars_format::fixed)
-                         .ptr;
-    return {room.data(), end};
+std::string formatNumber(double value) {
+    std::array<char, 64> buffer{};
+    const auto result = std::to_chars(buffer.data(), buffer.data() + buffer.size(), static_cast<float>(value),
+                                      std::chars_format::fixed);
+    return {buffer.data(), result.ptr};
 }
 
-std::string listText(const std::set<EndpointId>& servers, const NameRegistry& names) {
+std::string formatNames(const std::set<EndpointId>& endpoints, const NameRegistry& names) {
     std::string out;
-    for (const auto& one : servers) out.append(out.empty() ? "" : ",").append(names.nameOf(one));
+    for (const EndpointId endpoint : endpoints)
+        out.append(out.empty() ? "" : ",").append(names.nameOf(endpoint));
     return out;
 }
 
-/// ` for=a+b`, or nothing where all products are meant.
-std::string forText(RequestClassSet products, const NameRegistry& names) {
+/// ` for=a+b`, or nothing if the set holds every request class.
+std::string formatRequestClasses(RequestClassSet requestClasses, const NameRegistry& names) {
     std::string out;
     bool all = true;
-    for (std::uint16_t p = 0; p < names.requestClassCount(); ++p) {
-        if (products >> p & 1U)
-            out.append(out.empty() ? " for=" : "+").append(names.nameOf(RequestClassId{p}));
+    for (std::uint16_t k = 0; k < names.requestClassCount(); ++k) {
+        if (routing::contains(requestClasses, {k}))
+            out.append(out.empty() ? " for=" : "+").append(names.nameOf(RequestClassId{k}));
         else
             all = false;
     }
     return all ? std::string{} : out;
 }
 
-std::string levelText(const routing::AdmissionLimit& level) {
-    return " gate=" + numberText(level.limit) +
-           " again=" + std::to_string(static_cast<int>(level.retryPolicy));
+std::string formatLimit(const routing::AdmissionLimit& limit) {
+    return " gate=" + formatNumber(limit.limit) +
+           " again=" + std::to_string(static_cast<int>(limit.retryPolicy));
 }
 
-/// Products of the same level, each level once.
-std::vector<std::pair<routing::AdmissionLimit, RequestClassSet>>
-groupsOf(const routing::AdmissionLimits& levels) {
-    std::vector<std::pair<routing::AdmissionLimit, RequestClassSet>> groups;
-    for (const auto& [product, level] : levels) {
-        const auto bit = static_cast<RequestClassSet>(1U << product.value);
-        const auto same =
-            std::ranges::find(groups, level, &std::pair<routing::AdmissionLimit, RequestClassSet>::first);
-        if (same == groups.end())
-            groups.emplace_back(level, bit);
+struct SharedLimit {
+    routing::AdmissionLimit limit;
+    RequestClassSet requestClasses = 0;
+};
+
+/// Each distinct limit once, with the request classes that it applies to.
+std::vector<SharedLimit> groupByLimit(const routing::AdmissionLimits& limits) {
+    std::vector<SharedLimit> groups;
+    for (const auto& [requestClass, limit] : limits) {
+        const RequestClassSet single = routing::setOf(requestClass);
+        const auto group = std::ranges::find(groups, limit, &SharedLimit::limit);
+        if (group == groups.end())
+            groups.push_back({limit, single});
         else
-            same->second = static_cast<RequestClassSet>(same->second | bit);
+            group->requestClasses = routing::unionOf(group->requestClasses, single);
     }
     return groups;
 }
 
-} // namespace
-
-std::size_t linesOf(const routing::AdmissionLimits& levels) { return groupsOf(levels).size(); }
+/// Builds the parts of one message and counts their lines.
+class PartWriter {
+public:
+    explicit PartWriter(const NameRegistry& names) : names_(names) {}
 
-EncodedPush encodePush(const PushMessage& message, const NameRegistry& names) {
-    std::vector<std::string> parts;
-    LineCounts lines;
-    for (const auto& table : message.tables) {
-        std::string rows;
-        bool whole = table.whole;
-        const std::string products = forText(table.products, names);
-        const auto flush = [&] {
-            if (rows.empty() && !whole) return;
-            parts.push_back(products + (whole ? " replace=1" : "") + (rows.empty() ? "" : " rows=" + rows));
-            lines.framing += whole;
-            whole = false;
-            rows.clear();
-        };
-        for (const auto& [server, weight] : table.lines) {
-            rows.append(rows.empty() ? "" : ",").append(names.nameOf(server)) += ":" + numberText(weight);
-            ++lines.rows;
-            if (rows.size() > kRowBytesMost) flush();
+    void addTable(const TableUpdate& table) {
+        addWeights(table);
+        for (const SharedLimit& group : groupByLimit(table.admission)) {
+            parts_.push_back(formatRequestClasses(group.requestClasses, names_) + formatLimit(group.limit));
+            ++lines_.admissionLimits;
         }
-        flush();
-        for (const auto& [level, of] : groupsOf(table.levels)) {
-            parts.push_back(forText(of, names) + levelText(level));
-            ++lines.levels;
+    }
+
+    /// Completes the last part with what is not bound to a table.
+    void addTrailer(const PushMessage& message) {
+        std::string trailer;
+        if (!message.exclusions.empty()) trailer += " drop=" + formatNames(message.exclusions, names_);
+        if (!message.readmissions.empty()) trailer += " undrop=" + formatNames(message.readmissions, names_);
+        if (message.barrier) trailer += " stamp=" + std::to_string(message.barrier->value);
+        lines_.exclusions += message.exclusions.size();
+        lines_.readmissions += message.readmissions.size();
+        lines_.framing += message.barrier ? 1 : 0;
+        if (parts_.empty()) parts_.emplace_back();
+        parts_.back() += trailer;
+    }
+
+    EncodedPush finish() const {
+        std::string bytes;
+        for (std::size_t k = 0; k < parts_.size(); ++k)
+            bytes += "push" + parts_[k] + (k + 1 < parts_.size() ? " part=1\r\n" : "\r\n");
+        return {std::move(bytes), lines_, parts_.size()};
+    }
+
+private:
+    /// Only the first part of a table that is replaced says so.
+    void addWeights(const TableUpdate& table) {
+        const std::string requestClasses = formatRequestClasses(table.requestClasses, names_);
+        bool replacesTable = table.replacesTable;
+        std::string weights;
+        for (const auto& [endpoint, weight] : table.weights) {
+            weights.append(weights.empty() ? "" : ",").append(names_.nameOf(endpoint));
+            weights += ":" + formatNumber(weight);
+            ++lines_.weights;
+            if (weights.size() <= kMaxWeightBytesPerPart) continue;
+            addPart(requestClasses, std::exchange(replacesTable, false), std::exchange(weights, {}));
         }
+        if (!weights.empty() || replacesTable) addPart(requestClasses, replacesTable, weights);
     }
-    std::string last;
-    if (!message.shut.empty()) last += " drop=" + listText(message.shut, names);
-    if (!message.let.empty()) last += " undrop=" + listText(message.let, names);
-    if (message.mark) last += " stamp=" + std::to_string(message.mark->value);
-    lines.withdrawals += message.shut.size();
-    lines.readmissions += message.let.size();
-    lines.framing += message.mark ? 1 : 0;
-    if (parts.empty()) parts.emplace_back();
-    parts.back() += last;
 
-    std::string out;
-    for (std::size_t k = 0; k < parts.size(); ++k)
-        out += "push" + parts[k] + (k + 1 < parts.size() ? " part=1\r\n" : "\r\n");
-    return {std::move(out), lines, parts.size()};
+    void addPart(const std::string& requestClasses, bool replacesTable, const std::string& weights) {
+        std::string part = requestClasses;
+        if (replacesTable) part += " replace=1";
+        if (!weights.empty()) part += " rows=" + weights;
+        parts_.push_back(std::move(part));
+        lines_.framing += replacesTable ? 1 : 0;
+    }
+
+    const NameRegistry& names_;
+    std::vector<std::string> parts_;
+    LineCounts lines_;
+};
+
+} // namespace
+
+std::size_t countAdmissionLines(const routing::AdmissionLimits& limits) {
+    return groupByLimit(limits).size();
+}
+
+EncodedPush encodePush(const PushMessage& message, const NameRegistry& names) {
+    PartWriter writer(names);
+    for (const TableUpdate& table : message.tables) writer.addTable(table);
+    writer.addTrailer(message);
+    return writer.finish();
 }
 
 } // namespace zincstack::net
--- a/src/platform/push_encoder.h
+++ b/src/platform/push_encoder.h
@@ -1,7 +1,6 @@
-// Writes one message to a proxy as the push lines of the protocol.
+// Encodes an update for one proxy as the `push` lines of the platform protocol.
 #pragma once
 
-#include <map>
 #include <optional>
 #include <set>
 #include <string>
@@ -13,29 +12,35 @@
 
 namespace zincstack::net {
 
-/// What changes for one proxy in the table of some products.
+/// The change to a proxy's table for some request classes.
 struct TableUpdate {
-    RequestClassSet products = 0;
-    bool whole = false; ///< the lines are the whole table, and levels are forgotten
-    routing::EndpointWeights lines;
-    routing::AdmissionLimits levels;
+    RequestClassSet requestClasses = 0;
+    bool replacesTable = false; ///< `weights` is the complete table, and earlier admission limits are void
+    routing::EndpointWeights weights;
+    routing::AdmissionLimits admission;
+
+    bool empty() const { return !replacesTable && weights.empty() && admission.empty(); }
 };
+
 struct PushMessage {
     std::vector<TableUpdate> tables;
-    std::set<EndpointId> shut, let;
-    std::optional<BarrierId> mark;
+    std::set<EndpointId> exclusions;
+    std::set<EndpointId> readmissions;
+    std::optional<BarrierId> barrier;
 };
 
 struct EncodedPush {
     std::string bytes;
     LineCounts lines;
-    std::size_t parts = 0; ///< push lines
+    std::size_t partCount = 0; ///< `push` lines
 };
+
+/// Limit of the protocol on `push` lines in one message.
+inline constexpr std::size_t kMaxPartsPerMessage = 64;
+
 EncodedPush encodePush(const PushMessage& message, const NameRegistry& names);
 
-/// Most parts that one message may have.
-inline constexpr std::size_t kPartsMost = 64;
-/// Levels that are alike share a line: how many lines these take.
-std::size_t linesOf(const routing::AdmissionLimits& levels);
+/// Lines that the limits take in a message: request classes with equal limits share one.
+std::size_t countAdmissionLines(const routing::AdmissionLimits& limits);
 
 } // namespace zincstack::net
--- a/src/platform/push_stream.h
+++ b/src/platform/push_stream.h
@@ -1,4 +1,4 @@
-// Where the orders for one proxy go: its stream, as far as the outbox knows it.
+// The stream on which a proxy receives push messages, as far as UpdateQueue needs to know it.
 #pragma once
 
 #include <string_view>
@@ -8,11 +8,11 @@
 class PushStream {
 public:
     virtual ~PushStream() = default;
-    /// Takes a whole message, written as fast as the reader reads; false if too much waits already.
+    /// Accepts a complete message, to be written as fast as the reader reads; false if its buffer is full.
     virtual bool push(std::string_view bytes) = 0;
-    /// All that it took has been written.
+    /// Whether everything accepted so far has been written.
     virtual bool idle() const = 0;
-    /// Nothing more is said or heard here: the proxy has a newer stream.
+    /// The proxy has opened a newer stream: this one ends.
     virtual void replaced() = 0;
 };
 
--- a/src/platform/session_acceptor.cpp
+++ b/src/platform/session_acceptor.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// A session with the way back to its own connection.
-class Visitor final : public PeerProtocol, PushStream {
+/// Connects a session to the connection that it is fed from and writes to.
+class ConnectedSession final : public PeerProtocol, PushStream {
 public:
-    Visitor(Connection& connection, InputTranslator& intake, Counters& counters, BufferPool& lines,
-            std::function<void()> alive)
-        : connection_(connection), session_(intake, counters, lines, *this, std::move(alive)) {}
+    ConnectedSession(Connection& connection, InputTranslator& inputs, Counters& counters,
+                     BufferPool& lineBuffers, std::function<void()> answerProbe)
+        : connection_(connection), session_(inputs, counters, lineBuffers, *this, std::move(answerProbe)) {}
 
     bool feed(std::string_view bytes) override { return session_.feed(bytes); }
-    bool joinDeadlineExpired() override { return session_.mayStay(); }
-    bool isUnidentified() const override { return session_.stranger(); }
-    void connectionClosed() override { session_.ended(); }
+    bool joinDeadlineExpired() override { return session_.joinDeadlineExpired(); }
+    bool isUnidentified() const override { return session_.isUnidentified(); }
+    void connectionClosed() override { session_.connectionClosed(); }
     std::string_view farewell() const override {
-        return session_.refused() ? "error reason=refused\r\n" : std::string_view{};
+        return session_.isRejected() ? "error reason=refused\r\n" : std::string_view{};
     }
 
 private:
@@ -36,18 +36,18 @@
 } // namespace
 
 std::unique_ptr<PeerProtocol> SessionAcceptor::accept(Connection& connection) {
-    return std::make_unique<Visitor>(connection, intake_, counters_, lines_,
-                                     [this, &connection] { alive(connection); });
+    return std::make_unique<ConnectedSession>(connection, inputs_, counters_, lineBuffers_,
+                                              [this, &connection] { answerProbe(connection); });
 }
 
 void SessionAcceptor::startServing() {
-    if (std::exchange(serving_, true)) return;
-    for (const auto& one : std::exchange(asking_, {}))
-        if (const auto connection = one.lock()) alive(*connection);
+    if (std::exchange(isServing_, true)) return;
+    for (const auto& waiting : std::exchange(unansweredProbes_, {}))
+        if (const auto connection = waiting.lock()) answerProbe(*connection);
 }
 
-void SessionAcceptor::alive(Connection& connection) {
-    if (!serving_) return asking_.push_back(connection.weak_from_this());
+void SessionAcceptor::answerProbe(Connection& connection) {
+    if (!isServing_) return unansweredProbes_.push_back(connection.weak_from_this());
     counters_.add(Counter::ProbesAnswered);
     if (!connection.push("alive\r\n")) counters_.recordIgnored(Counter::NoRoom, "no room for an answer");
 }
--- a/src/platform/session_acceptor.h
+++ b/src/platform/session_acceptor.h
@@ -1,5 +1,5 @@
-// Whoever comes to the planner's address: each connection gets a session of the platform's protocol, and
-// probes are answered once the planner serves.
+// Accepts the connections to the planner's address: each gets a session of the platform protocol, and probes are
+// answered once the planner serves.
 #pragma once
 
 #include <memory>
@@ -14,24 +14,24 @@
 
 class SessionAcceptor {
 public:
-    /// Bytes that wait for one slow reader; past them it gets its tables anew once it has caught up.
+    /// Bytes that may wait for one slow reader. Beyond them it is resynchronized once it has caught up.
     static constexpr std::size_t kQueueBytesMost = 256 * 1024;
 
-    SessionAcceptor(InputTranslator& intake, Counters& counters, BufferPool& lines)
-        : intake_(intake), counters_(counters), lines_(lines) {}
+    SessionAcceptor(InputTranslator& inputs, Counters& counters, BufferPool& lineBuffers)
+        : inputs_(inputs), counters_(counters), lineBuffers_(lineBuffers) {}
 
     std::unique_ptr<PeerProtocol> accept(Connection& connection);
-    /// From now on probes are answered; those that wait are now.
+    /// Probes are answered from now on, including those that wait for an answer.
     void startServing();
 
 private:
-    void alive(Connection& connection);
+    void answerProbe(Connection& connection);
 
-    InputTranslator& intake_;
+    InputTranslator& inputs_;
     Counters& counters_;
-    BufferPool& lines_;
-    std::vector<std::weak_ptr<Connection>> asking_;
-    bool serving_ = false;
+    BufferPool& lineBuffers_;
+    std::vector<std::weak_ptr<Connection>> unansweredProbes_;
+    bool isServing_ = false;
 };
 
 } // namespace zincstack::net
--- a/src/platform/update_queue.cpp
+++ b/src/platform/update_queue.cpp
@@ -7,318 +7,189 @@
 
 namespace zincstack::net {
 
-UpdateQueue::UpdateQueue(routing::RoutingState& book, const NameRegistry& names, Counters& counters)
-    : book_(book), names_(names), counters_(counters) {
-    book_.addTransport(*this);
+UpdateQueue::UpdateQueue(routing::RoutingState& state, const NameRegistry& names, Counters& counters)
+    : state_(state), names_(names), counters_(counters) {
+    state_.addTransport(*this);
 }
 
 UpdateQueue::~UpdateQueue() {
-    for (const auto& [id, held] : held_) book_.proxyLeft(id, *this);
-    book_.removeTransport(*this);
+    for (const auto& [proxy, session] : sessions_) state_.proxyLeft(proxy, *this);
+    state_.removeTransport(*this);
 }
 
+// ---- sessions ---------------------------------------------------------------------------------------------
+
 bool UpdateQueue::sessionOpened(ProxyId proxy, ZoneId zone, PushStream& stream) {
-    const bool had = book_.proxyJoined(proxy, zone, *this);
-    held_.insert_or_assign(proxy, Held{&stream});
-    report_.streamOpened();
-    log::debug("stream_opened", {{"proxy", proxy.value}, {"zone", zone.value}, {"had_another", had}});
-    return had;
+    const bool hadSession = state_.proxyJoined(proxy, zone, *this);
+    sessions_.erase(proxy);
+    sessions_.emplace(proxy, Session{&stream, PendingUpdate(proxy, state_, names_)});
+    statistics_.streamOpened();
+    log::debug("stream_opened", {{"proxy", proxy.value}, {"zone", zone.value}, {"replaces", hadSession}});
+    return hadSession;
 }
 
 bool UpdateQueue::ownsSession(ProxyId proxy, const PushStream& stream) const {
-    const auto found = held_.find(proxy);
-    return found != held_.end() && found->second.stream == &stream;
+    const auto found = sessions_.find(proxy);
+    return found != sessions_.end() && found->second.stream == &stream;
 }
 
 bool UpdateQueue::sessionClosed(ProxyId proxy, const PushStream& stream) {
     if (!ownsSession(proxy, stream)) return false;
-    report_.streamEnded();
-    log::debug("stream_ended", {{"proxy", proxy.value}});
-    return held_.erase(proxy) && book_.proxyLeft(proxy, *this);
+    statistics_.streamClosed();
+    log::debug("stream_closed", {{"proxy", proxy.value}});
+    sessions_.erase(proxy);
+    return state_.proxyLeft(proxy, *this);
 }
 
-bool UpdateQueue::barrierAcknowledged(ProxyId proxy, BarrierId number) {
-    if (!book_.barrierAcknowledged(proxy, number)) return false;
-    report_.answered();
-    log::debug("answered", {{"proxy", proxy.value}, {"mark", number.value}});
+bool UpdateQueue::barrierAcknowledged(ProxyId proxy, BarrierId barrier) {
+    if (!state_.barrierAcknowledged(proxy, barrier)) return false;
+    statistics_.barrierAcknowledged();
+    log::debug("barrier_acknowledged", {{"proxy", proxy.value}, {"barrier", barrier.value}});
     return true;
 }
 
 void UpdateQueue::sessionReplaced(ProxyId proxy) {
-    const auto found = held_.find(proxy);
-    counters_.checkInvariant(found != held_.end());
-    if (found == held_.end()) return;
-    report_.takenOver();
+    const auto found = sessions_.find(proxy);
+    counters_.checkInvariant(found != sessions_.end());
+    if (found == sessions_.end()) return;
+    statistics_.streamReplaced();
     log::debug("stream_replaced", {{"proxy", proxy.value}});
     found->second.stream->replaced();
-    held_.erase(found);
-}
-
-void UpdateQueue::weightChanged(TableId table, EndpointId server, double weight) {
-    for (auto& [id, held] : held_)
-        if (book_.tablesOf(id).contains(table)) held.parts[table].lines[server] = weight;
+    sessions_.erase(found);
 }
 
-void UpdateQueue::tableAssigned(ProxyId proxy, TableId table) { held_.at(proxy).parts[table].whole = true; }
+// ---- changes of the desired state -------------------------------------------------------------------------
 
-/// A server is shut out or let back where the stream was not told the same before.
-void UpdateQueue::tell(Held& held, EndpointId server, bool out) {
-    const auto told = held.shut.find(server);
-    if (told != held.shut.end() && told->second == out) return;
-    held.shut[server] = out;
-    (out ? held.letNow : held.shutNow).erase(server);
-    (out ? held.shutNow : held.letNow).insert(server);
+void UpdateQueue::weightChanged(TableId table, EndpointId endpoint, double weight) {
+    for (auto& [proxy, session] : sessions_) session.pending.weightChanged(table, endpoint, weight);
 }
 
-/// A proxy whose next table is not written yet goes on with the one before, which may name any server.
-void UpdateQueue::exclusionChanged(EndpointId server, bool out) {
-    for (auto& [id, held] : held_) {
-        const bool former = out && held.hasTable && held.replacesTable();
-        if (former || book_.mayRouteTo(id, server)) tell(held, server, out);
-    }
+void UpdateQueue::tableAssigned(ProxyId proxy, TableId table) {
+    sessions_.at(proxy).pending.tableAssigned(table);
 }
 
-void UpdateQueue::admissionChanged(std::optional<TableId> table, RequestClassSet products) {
-    for (std::uint16_t p = 0; p < names_.requestClassCount(); ++p) {
-        const RequestClassId product{p};
-        if (!(products >> p & 1U)) continue;
-        for (auto& [id, held] : held_) {
-            const auto& bound = book_.tablesOf(id);
-            if (!table && bound.empty()) held.loose[product] = book_.fleetWideAdmission().at(product);
-            for (const TableId one : bound)
-                if (table ? one == *table : (book_.table(one).requestClasses >> p & 1U) != 0)
-                    held.parts[one].levels[product] = *book_.effectiveAdmission(one, product);
-        }
-    }
+void UpdateQueue::exclusionChanged(EndpointId endpoint, bool excluded) {
+    for (auto& [proxy, session] : sessions_) session.pending.exclusionChanged(endpoint, excluded);
 }
 
-void UpdateQueue::barrierRequested(BarrierId number, bool everyProxy) {
-    for (auto& [id, held] : held_)
-        if (everyProxy || held.concerned()) held.mark = number;
+void UpdateQueue::admissionChanged(std::optional<TableId> table, RequestClassSet requestClasses) {
+    for (auto& [proxy, session] : sessions_) session.pending.admissionChanged(table, requestClasses);
 }
 
-void UpdateQueue::endpointForgotten(EndpointId server) {
-    for (auto& [id, held] : held_) {
-        held.shut.erase(server);
-        for (auto* now : {&held.shutNow, &held.letNow}) now->erase(server);
-        for (auto& [table, part] : held.parts) part.lines.erase(server);
-    }
+void UpdateQueue::barrierRequested(BarrierId barrier, bool everyProxy) {
+    for (auto& [proxy, session] : sessions_)
+        if (everyProxy || session.pending.hasChanges()) session.pending.barrierRequested(barrier);
 }
 
-bool UpdateQueue::hasUndeliveredRemoval(EndpointId server) const {
-    return std::ranges::any_of(held_, [&](const auto& one) {
-        const Held& held = one.second;
-        if (!held.concerned()) return false;
-        return held.shutNow.contains(server) || std::ranges::any_of(held.parts, [&](const auto& part) {
-                   return part.second.lines.contains(server);
-               });
-    });
+void UpdateQueue::endpointForgotten(EndpointId endpoint) {
+    for (auto& [proxy, session] : sessions_) session.pending.endpointForgotten(endpoint);
 }
 
-bool UpdateQueue::clearStaleExclusions(ProxyId proxy, std::size_t most) {
-    const auto found = held_.find(proxy);
-    if (found == held_.end()) return false;
-    Held& held = found->second;
-    std::size_t more = 0;
-    for (const TableId table : book_.tablesOf(proxy))
-        for (const auto& [server, weight] : book_.table(table).weights) {
-            if (more == most) return true;
-            if (held.shut.contains(server) || book_.excludedEndpoints().contains(server)) continue;
-            tell(held, server, false);
-            ++more;
-        }
-    return more > 0;
+bool UpdateQueue::hasUndeliveredRemoval(EndpointId endpoint) const {
+    return std::ranges::any_of(sessions_,
+                               [&](const auto& entry) { return entry.second.pending.mayRemove(endpoint); });
 }
 
-// ---- writing ----------------------------------------------------------------------------------------------
-
-bool UpdateQueue::Held::replacesTable() const {
-    return std::ranges::any_of(parts, [](const auto& one) { return one.second.whole; });
+bool UpdateQueue::clearStaleExclusions(ProxyId proxy, std::size_t maxEndpoints) {
+    const auto found = sessions_.find(proxy);
+    return found != sessions_.end() && found->second.pending.clearStaleExclusions(maxEndpoints);
 }
 
-/// A rule's time limit runs for withdrawals, lines that are taken out, and the first table on a stream.
-bool UpdateQueue::Held::urgent() const {
-    if (!shutNow.empty()) return true;
-    return std::ranges::any_of(parts, [&](const auto& one) {
-        const TableUpdate& part = one.second;
-        if (part.whole) return !hasTable;
-        return std::ranges::any_of(part.lines, [](const auto& line) { return line.second <= 0; });
-    });
-}
+// ---- writing ----------------------------------------------------------------------------------------------
 
-/// Everything that waits, in the order in which it is to be written.
-std::vector<UpdateQueue::Candidate> UpdateQueue::candidates() {
-    std::vector<Candidate> out;
-    for (auto& [id, held] : held_) {
-        if (held.behind && held.stream->idle()) resync(id, held);
-        if (held.behind || (!held.concerned() && !held.mark)) continue;
-        if (!held.since) held.since = book_.now();
-        prepare(id, held);
-        out.push_back({held.urgent() ? Urgency::Deadline : Urgency::Ordinary, *held.since, id});
+/// Every session that has something to write, urgent ones first, then the oldest.
+std::vector<UpdateQueue::Candidate> UpdateQueue::candidatesInOrder() {
+    std::vector<Candidate> candidates;
+    for (auto& [proxy, session] : sessions_) {
+        PendingUpdate& pending = session.pending;
+        if (session.isLagging && session.stream->idle()) {
+            counters_.add(Counter::Resyncs);
+            session.isLagging = false;
+            pending.resynchronize();
+        }
+        if (session.isLagging || (!pending.hasChanges() && !pending.barrier())) continue;
+        if (!session.pendingSince) session.pendingSince = state_.now();
+        pending.reconcile();
+        const Urgency urgency = pending.isUrgent() ? Urgency::Deadline : Urgency::Ordinary;
+        candidates.push_back({urgency, *session.pendingSince, proxy});
     }
-    std::ranges::sort(out);
-    return out;
+    std::ranges::sort(candidates);
+    return candidates;
 }
 
 void UpdateQueue::flush() {
-    linesHeldBack_ = 0;
-    needsMark_ = false;
-    std::optional<Urgency> full; // what is no more urgent than this finds the queue full
-    for (const Candidate& one : candidates()) {
-        Held& held = held_.at(one.proxy);
-        const bool mayFit = !full || one.urgency < *full;
-        const Outcome outcome = mayFit ? write(one.proxy, held, one.urgency) : Outcome::QueueFull;
-        if (outcome == Outcome::QueueFull) full = full ? std::min(*full, one.urgency) : one.urgency;
-        if (!held.concerned()) continue;
-        needsMark_ |= !held.mark;
-        // What waits for its own proxy is no load on the channel: others must not wait for one that stands still.
-        if (outcome != Outcome::Waits) linesHeldBack_ += countLines(held, Scope::All);
+    deferredLines_ = 0;
+    needsBarrier_ = false;
+    std::optional<Urgency> fullFor; // the channel has no capacity for this urgency or less
+    for (const Candidate& candidate : candidatesInOrder()) {
+        Session& session = sessions_.at(candidate.proxy);
+        const bool mayFit = !fullFor || candidate.urgency < *fullFor;
+        const WriteResult result =
+            mayFit ? write(candidate.proxy, session, candidate.urgency) : WriteResult::ChannelFull;
+        if (result == WriteResult::ChannelFull)
+            fullFor = fullFor ? std::min(*fullFor, candidate.urgency) : candidate.urgency;
+        if (!session.pending.hasChanges()) continue;
+        needsBarrier_ |= !session.pending.barrier();
+        // What waits for its own proxy is no load on the channel: one unresponsive proxy must not delay others.
+        if (result != WriteResult::ProxyBlocked)
+            deferredLines_ += session.pending.countLines(UpdateScope::Complete);
     }
-    report();
-}
-
-/// All of it; where the queue is too full for that, what can't wait.
-UpdateQueue::Outcome UpdateQueue::write(ProxyId proxy, Held& held, Urgency urgency) {
-    const Outcome outcome = write(proxy, held, urgency, Scope::All);
-    if (outcome != Outcome::QueueFull || urgency != Urgency::Deadline) return outcome;
-    return write(proxy, held, urgency, Scope::UrgentOnly);
-}
-
-UpdateQueue::Outcome UpdateQueue::write(ProxyId proxy, Held& held, Urgency urgency, Scope scope) {
-    if (!held.mark) return Outcome::Waits;
-    const std::size_t lines = countLines(held, scope);
-    switch (book_.checkCredit(proxy, lines, urgency)) {
-    case ChannelCredit::Admission::ProxyBlocked: return Outcome::Waits;
-    case ChannelCredit::Admission::QueueFull: return Outcome::QueueFull;
+    updateStatistics();
+}
+
+/// Writes all that is pending or, if the channel lacks capacity for it, only what is urgent.
+UpdateQueue::WriteResult UpdateQueue::write(ProxyId proxy, Session& session, Urgency urgency) {
+    const WriteResult result = write(proxy, session, urgency, UpdateScope::Complete);
+    if (result != WriteResult::ChannelFull || urgency != Urgency::Deadline) return result;
+    return write(proxy, session, urgency, UpdateScope::UrgentOnly);
+}
+
+UpdateQueue::WriteResult UpdateQueue::write(ProxyId proxy, Session& session, Urgency urgency,
+                                            UpdateScope scope) {
+    PendingUpdate& pending = session.pending;
+    // Only the acknowledgement of a barrier returns the credit.
+    if (!pending.barrier()) return WriteResult::ProxyBlocked;
+    const BarrierId barrier = *pending.barrier();
+    const std::size_t lines = pending.countLines(scope);
+    switch (state_.checkCredit(proxy, lines, urgency)) {
+    case ChannelCredit::Admission::ProxyBlocked: return WriteResult::ProxyBlocked;
+    case ChannelCredit::Admission::QueueFull: return WriteResult::ChannelFull;
     case ChannelCredit::Admission::Granted: break;
     }
-    const PushMessage message = take(held, scope);
-    const EncodedPush written = encodePush(message, names_);
-    counters_.checkInvariant(written.lines.total() + book_.messageOverheadLines() == lines);
-    counters_.checkInvariant(written.parts <= kPartsMost);
-    held.behind = !held.stream->push(written.bytes);
-    if (held.behind) return Outcome::Waits;
+    const EncodedPush encoded = encodePush(pending.takeMessage(scope), names_);
+    counters_.checkInvariant(encoded.lines.total() + state_.messageOverheadLines() == lines);
+    counters_.checkInvariant(encoded.partCount <= kMaxPartsPerMessage);
+    session.isLagging = !session.stream->push(encoded.bytes);
+    if (session.isLagging) return WriteResult::ProxyBlocked;
+    recordWritten(proxy, barrier, encoded, lines);
+    pending.barrierWritten();
+    if (!pending.hasChanges()) session.pendingSince.reset();
+    return WriteResult::Written;
+}
+
+void UpdateQueue::recordWritten(ProxyId proxy, BarrierId barrier, const EncodedPush& encoded,
+                                std::size_t lines) {
     counters_.add(Counter::Messages);
-    counters_.add(Counter::Parts, written.parts);
-    counters_.add(Counter::OrderLines, written.lines.total());
-    report_.written(written.lines);
-    log::debug("message", {{"proxy", proxy.value},
-                           {"mark", held.mark->value},
-                           {"rows", written.lines.rows},
-                           {"withdrawals", written.lines.withdrawals},
-                           {"lines", lines}});
-    book_.messageWritten(proxy, *held.mark, lines);
-    held.mark.reset();
-    if (!held.concerned()) held.since.reset();
-    return Outcome::Written;
-}
-
-/// Brings what waits in line with what stands now: tables that were bound over are left out, and so is the shutting
-/// out of servers that the first table does not name. Servers that the tables name are told as they stand.
-void UpdateQueue::prepare(ProxyId proxy, Held& held) {
-    const auto& bound = book_.tablesOf(proxy);
-    std::erase_if(held.parts, [&](const auto& one) { return !bound.contains(one.first); });
-    RequestClassSet replaced = 0;
-    for (auto& [table, part] : held.parts) {
-        const routing::RoutingTable& standing = book_.table(table);
-        part.products = standing.requestClasses;
-        if (part.whole) {
-            replaced = static_cast<RequestClassSet>(replaced | part.products);
-            part.levels.clear();
-            for (std::uint16_t p = 0; p < names_.requestClassCount(); ++p)
-                if (const auto level = book_.effectiveAdmission(table, {p});
-                    level && (part.products >> p & 1U))
-                    part.levels[{p}] = *level;
-        }
-        for (const auto& [server, weight] : part.whole ? standing.weights : part.lines) {
-            const bool shut = book_.excludedEndpoints().contains(server);
-            if (weight > 0 && (shut || held.shut.contains(server) || names_.wasForgotten(server)))
-                tell(held, server, shut);
-        }
-    }
-    if (held.hasTable || replaced != book_.allRequestClasses()) return;
-    std::erase_if(held.shutNow, [&](EndpointId server) {
-        const bool named = book_.mayRouteTo(proxy, server);
-        if (!named) held.shut.erase(server);
-        return !named;
-    });
-}
-
-/// As the protocol counts them, the head and the mark among them.
-std::size_t UpdateQueue::countLines(const Held& held, Scope scope) const {
-    std::size_t lines = book_.messageOverheadLines() + 1 + held.shutNow.size();
-    if (scope == Scope::All) lines += held.letNow.size() + linesOf(held.loose);
-    for (const auto& [table, part] : held.parts) {
-        if (scope == Scope::UrgentOnly && part.whole && held.hasTable) continue;
-        if (part.whole)
-            lines += 1 + book_.table(table).weights.size() + linesOf(part.levels);
-        else if (scope == Scope::All)
-            lines += part.lines.size() + linesOf(part.levels);
-        else
-            lines += static_cast<std::size_t>(
-                std::ranges::count_if(part.lines, [](const auto& line) { return line.second <= 0; }));
-    }
-    return lines;
-}
-
-/// The message, which is not held any more; what the scope leaves out still is.
-PushMessage UpdateQueue::take(Held& held, Scope scope) {
-    PushMessage out;
-    const bool first = !held.hasTable;
-    for (auto& [table, part] : held.parts) {
-        TableUpdate taken = takePart(table, part, scope, first);
-        held.hasTable |= taken.whole;
-        if (taken.whole || !taken.lines.empty() || !taken.levels.empty())
-            out.tables.push_back(std::move(taken));
-    }
-    std::erase_if(held.parts, [](const auto& one) {
-        return !one.second.whole && one.second.lines.empty() && one.second.levels.empty();
-    });
-    out.shut = std::exchange(held.shutNow, {});
-    out.mark = held.mark;
-    if (scope == Scope::UrgentOnly) return out;
-    if (!held.loose.empty())
-        out.tables.push_back({book_.allRequestClasses(), false, {}, std::exchange(held.loose, {})});
-    out.let = std::exchange(held.letNow, {});
-    return out;
-}
-
-TableUpdate UpdateQueue::takePart(TableId table, TableUpdate& part, Scope scope, bool first) {
-    TableUpdate out{part.products, false, {}, {}};
-    if (part.whole) {
-        if (scope == Scope::UrgentOnly && !first) return out;
-        out = std::exchange(part, {});
-        out.lines = book_.table(table).weights;
-        return out;
-    }
-    if (scope == Scope::All) return std::exchange(part, {});
-    for (const auto& [server, weight] : part.lines)
-        if (weight <= 0) out.lines.emplace(server, weight);
-    std::erase_if(part.lines, [](const auto& line) { return line.second <= 0; });
-    return out;
-}
-
-/// What was told on the stream is not known any more: all that may have been is said again.
-void UpdateQueue::resync(ProxyId proxy, Held& held) {
-    counters_.add(Counter::Resyncs);
-    held.behind = false;
-    held.hasTable = false;
-    for (const auto& [server, before] : std::exchange(held.shut, {}))
-        tell(held, server, book_.excludedEndpoints().contains(server));
-    for (const TableId table : book_.tablesOf(proxy)) held.parts[table].whole = true;
-    for (const EndpointId server : book_.excludedEndpoints())
-        if (book_.mayRouteTo(proxy, server)) tell(held, server, true);
-}
-
-void UpdateQueue::report() {
-    report_.sample(book_.unacknowledgedLines());
-    if (!report_.due(book_.now())) return;
-    const auto unbound =
-        std::ranges::count_if(held_, [&](const auto& one) { return book_.tablesOf(one.first).empty(); });
-    report_.tell(book_.now(), {.unanswered = book_.unacknowledgedLines(),
-                               .heldBack = linesHeldBack_,
-                               .joined = held_.size(),
-                               .unbound = static_cast<std::size_t>(unbound)});
+    counters_.add(Counter::Parts, encoded.partCount);
+    counters_.add(Counter::OrderLines, encoded.lines.total());
+    statistics_.messageWritten(encoded.lines);
+    log::debug("message_written", {{"proxy", proxy.value},
+                                   {"barrier", barrier.value},
+                                   {"weights", encoded.lines.weights},
+                                   {"exclusions", encoded.lines.exclusions},
+                                   {"lines", lines}});
+    state_.messageWritten(proxy, barrier, lines);
+}
+
+void UpdateQueue::updateStatistics() {
+    statistics_.sampleUnacknowledgedLines(state_.unacknowledgedLines());
+    if (!statistics_.isDue(state_.now())) return;
+    const auto unassigned = std::ranges::count_if(
+        sessions_, [&](const auto& entry) { return state_.tablesOf(entry.first).empty(); });
+    statistics_.logInterval(state_.now(), {.unacknowledgedLines = state_.unacknowledgedLines(),
+                                           .deferredLines = deferredLines_,
+                                           .joinedProxies = sessions_.size(),
+                                           .unassignedProxies = static_cast<std::size_t>(unassigned)});
 }
 
 } // namespace zincstack::net
--- a/src/platform/update_queue.h
+++ b/src/platform/update_queue.h
@@ -1,16 +1,16 @@
-// The platform's front: keeps for each proxy's stream what was ordered and has not been written yet, and writes it, one
-// message a proxy, as far as the channel's credit goes. What is held back merges with what is ordered later, so no
-// message is ever queued here; withdrawals and first tables go before all else, the oldest first.
+// The transport for proxies on push streams of the platform protocol. Keeps one pending update per proxy and writes
+// it, as one message, as soon as the control channel has capacity: urgent updates first, then the oldest. Messages
+// are never queued; what has to wait merges with later changes.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <optional>
-#include <set>
 #include <vector>
 
 #include "metrics/counters.h"
 #include "platform/channel_statistics.h"
-#include "platform/push_encoder.h"
+#include "platform/pending_update.h"
 #include "platform/push_stream.h"
 #include "routing/name_registry.h"
 #include "routing/routing_state.h"
@@ -19,80 +19,62 @@
 
 class UpdateQueue final : public routing::UpdateTransport {
 public:
-    UpdateQueue(routing::RoutingState& book, const NameRegistry& names, Counters& counters);
+    UpdateQueue(routing::RoutingState& state, const NameRegistry& names, Counters& counters);
     ~UpdateQueue() override;
     UpdateQueue(const UpdateQueue&) = delete;
     UpdateQueue& operator=(const UpdateQueue&) = delete;
 
-    /// A stream of the proxy is up; whatever one it had before is not its own any more. True if it had one.
+    /// The stream becomes the proxy's session in place of any earlier one. True if there was one.
     bool sessionOpened(ProxyId proxy, ZoneId zone, PushStream& stream);
-    /// True if that stream was the proxy's own: the proxy has left.
+    /// False, without effect, unless the stream is the proxy's session.
     bool sessionClosed(ProxyId proxy, const PushStream& stream);
     bool ownsSession(ProxyId proxy, const PushStream& stream) const;
-    /// The proxy has answered a mark; false where none such waits for its answer.
-    bool barrierAcknowledged(ProxyId proxy, BarrierId number);
+    /// False if the proxy has no unacknowledged message with this barrier.
+    bool barrierAcknowledged(ProxyId proxy, BarrierId barrier);
 
-    void weightChanged(TableId table, EndpointId server, double weight) override;
+    void weightChanged(TableId table, EndpointId endpoint, double weight) override;
     void tableAssigned(ProxyId proxy, TableId table) override;
-    void exclusionChanged(EndpointId server, bool out) override;
-    void admissionChanged(std::optional<TableId> table, RequestClassSet products) override;
-    void barrierRequested(BarrierId number, bool everyProxy) override;
-    void endpointForgotten(EndpointId server) override;
-    bool hasUndeliveredRemoval(EndpointId server) const override;
+    void exclusionChanged(EndpointId endpoint, bool excluded) override;
+    void admissionChanged(std::optional<TableId> table, RequestClassSet requestClasses) override;
+    void barrierRequested(BarrierId barrier, bool everyProxy) override;
+    void endpointForgotten(EndpointId endpoint) override;
+    bool hasUndeliveredRemoval(EndpointId endpoint) const override;
     void sessionReplaced(ProxyId proxy) override;
     void flush() override;
-    bool clearStaleExclusions(ProxyId proxy, std::size_t most) override;
-    double deferredLines() const override { return static_cast<double>(linesHeldBack_); }
-    bool needsBarrier() const override { return needsMark_; }
+    bool clearStaleExclusions(ProxyId proxy, std::size_t maxEndpoints) override;
+    double deferredLines() const override { return static_cast<double>(deferredLines_); }
+    bool needsBarrier() const override { return needsBarrier_; }
     bool supportsReassignment() const override { return true; }
 
 private:
-    /// What was ordered for one stream and has not been written on it.
-    struct Held {
+    struct Session {
         PushStream* stream;
-        std::map<EndpointId, bool> shut =
-            {}; // as last ordered on this stream; absent: as earlier streams left it
-        std::map<TableId, TableUpdate> parts = {};
-        routing::AdmissionLimits loose = {}; // levels ordered while it is bound to no table
-        std::set<EndpointId> shutNow = {}, letNow = {};
-        std::optional<BarrierId> mark = {};
-        std::optional<Micros> since = {}; // when the oldest of it was ordered
-        bool behind = false;
-        bool hasTable = false; // a whole table has been written on this stream
-
-        bool concerned() const {
-            return !parts.empty() || !loose.empty() || !shutNow.empty() || !letNow.empty();
-        }
-        bool replacesTable() const;
-        bool urgent() const;
+        PendingUpdate pending;
+        std::optional<Micros> pendingSince = {};
+        /// The stream refused a message: the proxy is resynchronized once it has read everything before.
+        bool isLagging = false;
     };
-    enum class Scope : std::uint8_t { All, UrgentOnly };
-    enum class Outcome : std::uint8_t { Written, Waits, QueueFull };
+    enum class WriteResult : std::uint8_t { Written, ProxyBlocked, ChannelFull };
     struct Candidate {
         Urgency urgency;
-        Micros since;
+        Micros pendingSince;
         ProxyId proxy;
         auto operator<=>(const Candidate&) const = default;
     };
 
-    void tell(Held& held, EndpointId server, bool out);
-    std::vector<Candidate> candidates();
-    void prepare(ProxyId proxy, Held& held);
-    std::size_t countLines(const Held& held, Scope scope) const;
-    PushMessage take(Held& held, Scope scope);
-    TableUpdate takePart(TableId table, TableUpdate& part, Scope scope, bool first);
-    Outcome write(ProxyId proxy, Held& held, Urgency urgency);
-    Outcome write(ProxyId proxy, Held& held, Urgency urgency, Scope scope);
-    void resync(ProxyId proxy, Held& held);
-    void report();
+    std::vector<Candidate> candidatesInOrder();
+    WriteResult write(ProxyId proxy, Session& session, Urgency urgency);
+    WriteResult write(ProxyId proxy, Session& session, Urgency urgency, UpdateScope scope);
+    void recordWritten(ProxyId proxy, BarrierId barrier, const EncodedPush& encoded, std::size_t lines);
+    void updateStatistics();
 
-    routing::RoutingState& book_;
+    routing::RoutingState& state_;
     const NameRegistry& names_;
     Counters& counters_;
-    std::map<ProxyId, Held> held_;
-    ChannelStatistics report_;
-    std::size_t linesHeldBack_ = 0;
-    bool needsMark_ = false;
+    std::map<ProxyId, Session> sessions_;
+    ChannelStatistics statistics_;
+    std::size_t deferredLines_ = 0;
+    bool needsBarrier_ = false;
 };
 
 } // namespace zincstack::net
--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -42,7 +42,7 @@
         ProxyFleetConfig{.proxyCount = kProxies, .bootstrapTableSize = 3, .throttleMode = ThrottleMode::Rate},
         channelTerms, guards, products, book);
     net::BatchRunner engine{io, *planner, book, counters, 2ms};
-    net::InputTranslator intake{engine, book, outbox, names, counters, kProxies};
+    net::InputTranslator intake{engine, outbox, names, counters, kProxies};
     pubsub::SubscriptionServer* hub = nullptr;
     pubsub::PubsubService channel{
         io, counters, pool,
@@ -81,7 +81,7 @@
             all += std::string(k > from ? "," : "") + R"({"id":"s-)" + std::to_string(k) +
                    R"(","host_port":"127.0.0.1:1","locality":")" + (k % 2 ? "a" : "b") + R"(","phase":")" +
                    std::string(phase) + R"(","size":1})";
-        ASSERT_TRUE(intake.list(news, json::read(all + "]")));
+        ASSERT_TRUE(intake.updateEndpoints(news, json::read(all + "]")));
     }
     void join(std::size_t from, std::size_t to) {
         for (std::size_t k = from; k < to; ++k) {
@@ -213,7 +213,7 @@
     join(1, 2);
     until([&] { return links[0]->subscription().replica().tableOf("lookup") != nullptr; }, 1);
     EXPECT_TRUE(reader.over);
-    session.ended(); // late, and no leaving
+    session.connectionClosed(); // late, and no leaving
     const auto told = reader.got.size();
     list(EndpointListUpdate::Delta, 4, 5, "Ready");
     until(
@@ -231,7 +231,7 @@
     EXPECT_NE(links[0]->subscription().disconnectNotice()->reason.find("newer stream"), std::string::npos);
     links[0]->stop();
     until([&] { return second.got.find("replace=1") != std::string::npos; }, 1);
-    again.ended();
+    again.connectionClosed();
 }
 
 /// A write that was still pending kept a connection whose subscriber was gone, and the listener asked it.
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -219,7 +219,7 @@
                                [](Micros) {}};
     UpdateQueue outbox{book, names, counters};
     BatchRunner engine{io, planner, book, counters, 0us};
-    InputTranslator intake{engine, book, outbox, names, counters, 20};
+    InputTranslator intake{engine, outbox, names, counters, 20};
     SessionAcceptor door{intake, counters, pool};
     int alive = 0;
     EndpointId s1, s2;
@@ -254,7 +254,7 @@
         const json::Value all = json::read(
             R"([{"id":"s-1","host_port":"127.0.0.1:1","locality":"a","cell":3,"phase":"Ready","size":1.5,"up_since_ms":2},
                 {"id":"s-2","host_port":"127.0.0.1:2","locality":"b","cell":3,"phase":"Terminating","size":1}])");
-        ASSERT_TRUE(intake.list(EndpointListUpdate::Snapshot, all));
+        ASSERT_TRUE(intake.updateEndpoints(EndpointListUpdate::Snapshot, all));
         s1 = *names.endpoint("s-1"), s2 = *names.endpoint("s-2");
     }
 };
@@ -320,17 +320,18 @@
          {R"([{"id":"s-1","phase":"Ready"}])", R"([{"phase":"Gone"}])", R"([3])",
           R"([{"id":"x","host_port":"h","locality":"zz","phase":"Ready"}])",
           R"([{"id":"x","host_port":"h","locality":"a","phase":"Ready","size":-1}])"})
-        EXPECT_FALSE(intake.list(EndpointListUpdate::Snapshot, json::read(bad))) << bad;
+        EXPECT_FALSE(intake.updateEndpoints(EndpointListUpdate::Snapshot, json::read(bad))) << bad;
     EXPECT_TRUE(planner.seen.empty());
     EXPECT_FALSE(names.endpoint("x") || names.endpoint("s-1"));
-    EXPECT_TRUE(intake.list(EndpointListUpdate::Delta, json::read(R"([{"id":"s-9","phase":"Gone"}])")));
+    EXPECT_TRUE(
+        intake.updateEndpoints(EndpointListUpdate::Delta, json::read(R"([{"id":"s-9","phase":"Gone"}])")));
 }
 
 /// A whole list with one spoilt entry was refused for good, and no drain was heard any more.
 TEST_F(Desk, ADrainBesideASpoiltEntryIsHeardAndNobodyIsGoneBecauseOfIt) {
     listTwo();
     planner.seen.clear();
-    EXPECT_FALSE(intake.list(
+    EXPECT_FALSE(intake.updateEndpoints(
         EndpointListUpdate::Snapshot,
         json::read(
             R"([{"id":"s-2","host_port":"127.0.0.1:2","locality":"b","phase":"Ready","size":"much"},
@@ -345,11 +346,11 @@
     Reader older, newer;
     const auto first = proxy(older), second = proxy(newer);
     first->feed("ack proxy=17 mark=4 took_ms=1\r\n");
-    first->ended();
+    first->connectionClosed();
     const std::vector<std::string> wanted{"joined 17 zone 1", "joined 17 zone 1"};
     EXPECT_EQ(planner.seen, wanted);
     EXPECT_EQ(counters.of(Counter::Stale), 1U);
-    second->ended();
+    second->connectionClosed();
     EXPECT_EQ(planner.seen.back(), "left 17");
 }
 
@@ -456,7 +457,7 @@
     for (int k = 0; k < 12'000; ++k)
         all += std::string(k ? "," : "") + R"({"id":"server-with-a-long-name-to-fill-lines-)" +
                std::to_string(k) + R"(","host_port":"h:1","locality":"a","phase":"Ready"})";
-    ASSERT_TRUE(intake.list(EndpointListUpdate::Snapshot, json::read(all + "]")));
+    ASSERT_TRUE(intake.updateEndpoints(EndpointListUpdate::Snapshot, json::read(all + "]")));
     Reader reader;
     const auto stream = proxy(reader);
     order([&] {
@@ -484,7 +485,7 @@
     const auto peer = session(reader);
     bool open = true;
     inPieces(text, [&](std::string_view piece) { open = open && peer->feed(piece); });
-    peer->ended();
+    peer->connectionClosed();
 }
 
 /// A report whose lines came while a batch was about to close was judged in two halves, and all that
@@ -677,7 +678,7 @@
         Reader reader;
         const auto peer = session(reader);
         EXPECT_FALSE(peer->feed(bad)) << bad;
-        EXPECT_TRUE(peer->refused()) << bad;
+        EXPECT_TRUE(peer->isRejected()) << bad;
     }
     EXPECT_TRUE(planner.seen.empty());
 }
@@ -692,9 +693,9 @@
         EXPECT_FALSE(
             stream->feed("mand proxy=17 class=order tries=3 failed=0 span_ms=1\r\n" + std::string(bad)))
             << bad;
-        EXPECT_FALSE(stream->refused());
+        EXPECT_FALSE(stream->isRejected());
         EXPECT_EQ(planner.seen.back(), "usage 1 3"); // what came before was sound
-        stream->ended();
+        stream->connectionClosed();
         EXPECT_EQ(planner.seen.back(), "left 17");
     }
 }
