--- a/src/platform/pending_update.cpp
+++ b/src/platform/pending_update.cpp
@@ -113,7 +113,8 @@
     return limits;
 }
 
-/// The proxy is to know of each endpoint with a weight whether it is excluded, unless it can't have heard otherwise.
+/// Corrects what the proxy may believe wrongly of the endpoints that it is about to use, because of an earlier change on
+/// this stream or under an endpoint's former id.
 void PendingUpdate::reconcileExclusions(const routing::EndpointWeights& weights) {
     for (const auto& [endpoint, weight] : weights) {
         if (weight <= 0) continue;
--- /dev/null
+++ b/tests/line_framer_test.cpp
@@ -0,0 +1,55 @@
+// The line framer: the same lines however the input is cut, and bounded memory.
+#include <gtest/gtest.h>
+#include <rapidcheck/gtest.h>
+
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "input_pieces.h"
+#include "net/line_framer.h"
+
+namespace zincstack::net {
+namespace {
+
+constexpr auto maxLineBytes = [] { return kLineBytesMost; };
+
+RC_GTEST_PROP(LineFramerTest, LinesDoNotDependOnHowTheInputIsCut, ()) {
+    BufferPool pool(8);
+    std::string input;
+    std::vector<std::string> expected;
+    std::vector<std::string> framed;
+    for (int k = *rc::gen::inRange(0, 6); k > 0; --k) {
+        expected.emplace_back(*rc::gen::inRange<std::size_t>(0, 300), static_cast<char>('a' + k));
+        input += expected.back() + "\r\n";
+    }
+    LineFramer framer(pool);
+    tests::feedInPieces(input + "rest", [&](std::string_view piece) {
+        const auto handleLine = [&](std::string_view line) {
+            framed.emplace_back(line);
+            return true;
+        };
+        RC_ASSERT(framer.feed(piece, maxLineBytes, handleLine) == LineFramer::Outcome::Going);
+    });
+    RC_ASSERT(framed == expected);
+    RC_ASSERT(pool.out() == 1U);
+}
+
+TEST(LineFramerTest, RejectsAnEndlessLineAndReturnsItsBuffers) {
+    BufferPool pool(300);
+    BufferPool small(2);
+    const std::string block(kBlockBytes, 'x');
+    const auto outcome = [&](BufferPool& from) {
+        LineFramer framer(from);
+        auto last = LineFramer::Outcome::Going;
+        for (int k = 0; k < 300 && last == LineFramer::Outcome::Going; ++k)
+            last = framer.feed(block, maxLineBytes, {});
+        return last;
+    };
+    EXPECT_EQ(outcome(pool), LineFramer::Outcome::TooLong);
+    EXPECT_EQ(outcome(small), LineFramer::Outcome::NoRoom);
+    EXPECT_EQ(pool.out() + small.out(), 0U);
+}
+
+} // namespace
+} // namespace zincstack::net
--- /dev/null
+++ b/tests/listener_test.cpp
@@ -0,0 +1,70 @@
+// The listener with the platform protocol: who loses a connection, and when.
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/read.hpp>
+#include <boost/asio/write.hpp>
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "net/listener.h"
+#include "platform/session_acceptor.h"
+#include "platform_harness.h"
+
+namespace zincstack::net {
+namespace {
+
+using namespace std::chrono_literals;
+using namespace std::string_view_literals;
+
+struct ListenerTest : tests::PlatformHarness {
+    SessionAcceptor acceptor{inputs, counters, pool};
+
+    std::shared_ptr<Listener> listen(std::size_t maxPeers) {
+        const auto listener = std::make_shared<Listener>(
+            io, boost::asio::ip::tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0), maxPeers,
+            SessionAcceptor::kQueueBytesMost, counters, pool, pool,
+            [this](Connection& connection) { return acceptor.accept(connection); });
+        listener->start();
+        return listener;
+    }
+};
+
+TEST_F(ListenerTest, UnidentifiedPeersMakeRoomForAProxy) {
+    using boost::asio::ip::tcp;
+    const auto listener = listen(3);
+    std::vector<tcp::socket> peers;
+    for (int k = 0; k < 6; ++k) peers.emplace_back(io).connect(listener->address());
+    boost::asio::write(peers.back(), boost::asio::buffer("hello proxy=17 zone=b weight=1 fresh=1\r\n"sv));
+    const auto start = std::chrono::steady_clock::now();
+    while (planner.received.empty() && io.run_one_for(10s)) {}
+    EXPECT_EQ(planner.received, std::vector<std::string>{"joined 17 zone 1 fresh"});
+    EXPECT_LT(std::chrono::steady_clock::now() - start, 900ms); // less than a join deadline
+    EXPECT_GE(counters.of(Counter::RefusedStranger), 3U);
+}
+
+/// Regression: peers that sent nothing, half a message or only a probe kept their connections.
+TEST_F(ListenerTest, ClosesPeersThatMissTheJoinDeadlineOnly) {
+    using boost::asio::ip::tcp;
+    const auto listener = listen(9);
+    acceptor.startServing();
+    std::vector<tcp::socket> peers;
+    for (const auto text : {""sv, "hello proxy=1"sv, "probe\r\n"sv, "agent zone=a\r\n"sv}) {
+        peers.emplace_back(io).connect(listener->address());
+        boost::asio::write(peers.back(), boost::asio::buffer(text));
+    }
+    while (counters.of(Counter::Closed) < 3 && io.run_one_for(10s)) {}
+    for (const int k : {0, 1, 2}) {
+        std::string got;
+        boost::system::error_code error;
+        boost::asio::read(peers[static_cast<std::size_t>(k)], boost::asio::dynamic_buffer(got), error);
+        EXPECT_EQ(got.substr(k == 2 ? 7 : 0, 6), "error ") << got;
+    }
+    io.run_for(50ms);
+    EXPECT_EQ(counters.of(Counter::Closed), 3U);
+    EXPECT_EQ(peers[3].available(), 0U);
+}
+
+} // namespace
+} // namespace zincstack::net
--- /dev/null
+++ b/tests/resource_budget_test.cpp
@@ -0,0 +1,24 @@
+// How the limits of the process are divided.
+#include <gtest/gtest.h>
+
+#include "net/buffer_pool.h"
+#include "net/resource_budget.h"
+
+namespace zincstack::net {
+namespace {
+
+/// Regression: with 256 descriptors half of them were kept from peers, although every proxy may connect to one planner.
+TEST(ResourceBudgetTest, HasAConnectionForEveryProxyAndBoundsMemory) {
+    for (const std::size_t sockets : {256U, 512U, 1024U})
+        for (const std::size_t memory : {32U, 48U, 192U}) {
+            const ResourceBudget budget = divideLimits(sockets, memory, 200, 3);
+            EXPECT_GE(budget.peers, 203U + 16U);
+            EXPECT_GE(budget.probes, 4U);
+            EXPECT_LT(budget.peers + budget.probes, sockets - 12);
+            EXPECT_LE((budget.lineBlocks + budget.pushBlocks) * kBlockBytes, memory * 1024 * 1024 / 2);
+        }
+    EXPECT_GE(divideLimits(16, 1, 200, 3).peers, 1U);
+}
+
+} // namespace
+} // namespace zincstack::net
