--- a/examples/watch.cpp
+++ b/examples/watch.cpp
@@ -1,5 +1,5 @@
-// An example of the client library: a front end that joins two planners' channel in turn, picks servers by weight
-// from its table, and reports what its txns came to.
+// An example of the client library: a client that subscribes to the first planner that answers, picks an endpoint by
+// weight for a request once a second, and reports its demand.
 //
 //   zincstack_example_watch 127.0.0.1:9400
 #include <boost/asio/io_context.hpp>
@@ -10,53 +10,69 @@
 #include <memory>
 #include <random>
 #include <string>
+#include <vector>
 
 #include "client/subscription_client.h"
 #include "net/address.h"
 
 using namespace zincstack;
+using namespace std::chrono_literals;
 
-/// A server for a txn of the product, by the weights of the lines that may be picked; empty: none is known.
-static std::string pick(const pubsub::Replica& replica, const char* product, std::mt19937& chance) {
-    const pubsub::RoutingTable* table = replica.tableOf(product);
+namespace {
+
+constexpr const char* kRequestClass = "lookup";
+constexpr std::uint32_t kRequestsPerSecond = 20;
+
+/// An endpoint for a request of the class, drawn by weight among those that may be used; empty: none is known.
+std::string pickEndpoint(const pubsub::Replica& replica, const char* requestClass, std::mt19937& random) {
+    const pubsub::RoutingTable* table = replica.tableOf(requestClass);
     if (!table) return {};
-    const auto lines = replica.picks(*table, client::SubscriptionClient::now());
-    double all = 0;
-    for (const auto& [server, weight] : lines) all += weight;
-    double place = all * static_cast<double>(chance()) / static_cast<double>(std::mt19937::max());
-    for (const auto& [server, weight] : lines)
-        if ((place -= weight) <= 0) return server;
+    const auto endpoints = replica.eligibleEndpoints(*table, client::SubscriptionClient::now());
+    double total = 0;
+    for (const auto& [endpoint, weight] : endpoints) total += weight;
+    double remaining = total * static_cast<double>(random()) / static_cast<double>(std::mt19937::max());
+    for (const auto& [endpoint, weight] : endpoints) {
+        remaining -= weight;
+        if (remaining <= 0) return endpoint;
+    }
     return {};
 }
 
-int main(int count, char** words) {
+} // namespace
+
+int main(int argumentCount, char** arguments) {
     std::vector<client::SubscriptionClient::Endpoint> planners;
-    for (int k = 1; k < count; ++k)
-        if (const auto at = net::parseAddress(words[k])) planners.push_back(*at);
-    if (planners.empty()) return std::fprintf(stderr, "usage: zincstack_example_watch ADDRESS...\n"), 2;
+    for (int k = 1; k < argumentCount; ++k)
+        if (const auto address = net::parseAddress(arguments[k])) planners.push_back(*address);
+    if (planners.empty()) {
+        std::fprintf(stderr, "usage: zincstack_example_watch ADDRESS...\n");
+        return 2;
+    }
 
     boost::asio::io_context io;
-    const client::Identity me{.proxy = ProxyId{0}, .zone = "a", .weight = 20};
-    const auto link = std::make_shared<client::SubscriptionClient>(
-        io, planners, me, client::ReconnectConfig{}, std::random_device{}(), std::chrono::seconds(10),
+    const client::Identity identity{.proxy = ProxyId{0}, .zone = "a", .weight = kRequestsPerSecond};
+    const auto subscriber = std::make_shared<client::SubscriptionClient>(
+        io, planners, identity, client::ReconnectConfig{}, std::random_device{}(), 10s,
         [](std::optional<pubsub::TopicId> topic) {
             if (topic) std::printf("topic %u has changed\n", topic->value);
         },
         [](const std::string& line) { std::printf("%s\n", line.c_str()); });
-    link->start();
+    subscriber->start();
 
-    std::mt19937 chance(1);
-    boost::asio::steady_timer second(io);
-    std::function<void()> work = [&] {
-        second.expires_after(std::chrono::seconds(1));
-        second.async_wait([&](const boost::system::error_code& error) {
+    std::mt19937 random(1);
+    boost::asio::steady_timer timer(io);
+    std::function<void()> sendRequests = [&] {
+        timer.expires_after(1s);
+        timer.async_wait([&](const boost::system::error_code& error) {
             if (error) return;
-            const std::string server = pick(link->subscription().replica(), "lookup", chance);
-            std::printf("a lookup would go to %s\n", server.empty() ? "nobody" : server.c_str());
-            link->reportDemand("lookup", 20, 0, std::chrono::seconds(1));
-            work();
+            const std::string endpoint =
+                pickEndpoint(subscriber->subscription().replica(), kRequestClass, random);
+            std::printf("a %s would go to %s\n", kRequestClass,
+                        endpoint.empty() ? "nobody" : endpoint.c_str());
+            subscriber->reportDemand(kRequestClass, kRequestsPerSecond, 0, 1s);
+            sendRequests();
         });
     };
-    work();
+    sendRequests();
     io.run();
 }
--- a/src/client/reconnect_backoff.h
+++ b/src/client/reconnect_backoff.h
@@ -1,7 +1,8 @@
-// When to dial a planner again, and which. Decisions only: no I/O, clock and chance handed in.
+// When to reconnect, and to which planner. Decisions only: no I/O, and clock and seed are handed in.
 #pragma once
 
 #include <cstddef>
+#include <cstdint>
 #include <optional>
 #include <random>
 
@@ -10,32 +11,35 @@
 namespace zincstack::client {
 
 struct ReconnectConfig {
-    Micros initialDelay = std::chrono::milliseconds(50); ///< the shortest wait after a failure
-    Micros maxDelay = std::chrono::seconds(5);           ///< the longest; waits double in between
-    Micros resetAfter = std::chrono::seconds(10); ///< a stream that held so long clears what failed before it
+    Micros initialDelay =
+        std::chrono::milliseconds(50); ///< after the first failure; doubles with each further one
+    Micros maxDelay = std::chrono::seconds(5);
+    Micros resetAfter = std::chrono::seconds(10); ///< a session that lasted so long clears earlier failures
 };
 
+/// Exponential backoff with jitter over a list of planners.
 class ReconnectBackoff {
 public:
-    /// `addresses`: of planners, one at least; they are tried in turn.
-    ReconnectBackoff(std::size_t addresses, const ReconnectConfig& terms, std::uint64_t seed)
-        : addresses_(addresses), terms_(terms), chance_(static_cast<std::uint32_t>(seed)) {}
+    /// `addressCount`: of planners, at least one; they are tried in turn.
+    ReconnectBackoff(std::size_t addressCount, const ReconnectConfig& config, std::uint64_t seed)
+        : addressCount_(addressCount), config_(config), random_(static_cast<std::uint32_t>(seed)) {}
 
-    struct Call {
-        std::size_t address;
-        Micros wait;
+    struct Attempt {
+        std::size_t address; ///< index of the planner
+        Micros delay;
     };
-    /// The stream is over after it held for so long (zero: it never came up). `again`: what the planner said.
-    /// A planner that said when to come back is asked again then; one that failed gives way to the next, at
-    /// once on the first failure after a good time, later with waits that double, each drawn from its upper
-    /// half so that those who failed together do not come back together.
-    Call next(Micros held, std::optional<Micros> again);
+    /// A session ended after `sessionDuration` (zero: it was never established).
+    ///
+    /// `retryAfter`: what the planner said; that planner is tried again then. Otherwise the next planner is tried with
+    /// a delay that doubles once each planner has failed. Each delay is drawn from the upper half of its range, so
+    /// that clients that failed together do not reconnect together.
+    Attempt nextAttempt(Micros sessionDuration, std::optional<Micros> retryAfter);
     std::size_t address() const { return address_; }
 
 private:
-    const std::size_t addresses_;
-    const ReconnectConfig terms_;
-    std::mt19937 chance_;
+    const std::size_t addressCount_;
+    const ReconnectConfig config_;
+    std::mt19937 random_;
     std::size_t address_ = 0;
     unsigned failures_ = 0;
 };
--- a/src/client/subscription.cpp
+++ b/src/client/subscription.cpp
@@ -15,241 +15,261 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kWelcomeMost = 3s; // from the greeting; no lease is known before
-constexpr int kBeatsLate = 3;       // without a move, before a snapshot is asked for
+constexpr Micros kWelcomeTimeout = 3s;      // from the greeting; the lease is not known before the welcome
+constexpr int kHeartbeatsBeforeRequest = 3; // without progress, before a snapshot is requested
 
 } // namespace
 
-const Subscription::Row Subscription::kRows[] = {
-    {State::Apart, Word::Connected, State::Greeting, Effect::Greet},
-    {State::Apart, Word::Lost, State::Apart, Effect::Nothing},
-    {State::Greeting, Word::Welcome, State::CatchingUp, Effect::Enter},
-    {State::Any, Word::Parted, State::Apart, Effect::Close},
-    {State::Any, Word::Unusable, State::Apart, Effect::Close},
-    {State::Any, Word::Silent, State::Apart, Effect::Close},
-    {State::Any, Word::Lost, State::Apart, Effect::Close},
-    {State::Any, Word::Skipped, State::Any, Effect::Nothing},
-    {State::Any, Word::Foreign, State::Any, Effect::Nothing},
-    {State::CatchingUp, Word::Applied, State::CatchingUp, Effect::Answer},
-    {State::CatchingUp, Word::Part, State::CatchingUp, Effect::AnswerPart},
-    {State::CatchingUp, Word::Known, State::CatchingUp, Effect::Answer},
-    {State::CatchingUp, Word::Gap, State::Behind, Effect::Ask},
-    {State::CatchingUp, Word::Current, State::Live, Effect::Nothing},
-    {State::CatchingUp, Word::Waiting, State::CatchingUp, Effect::Nothing},
-    {State::CatchingUp, Word::Late, State::Behind, Effect::Ask},
-    {State::Live, Word::Applied, State::Live, Effect::Answer},
-    {State::Live, Word::Part, State::Live, Effect::AnswerPart},
-    {State::Live, Word::Known, State::Live, Effect::Answer},
-    {State::Live, Word::Gap, State::Behind, Effect::Ask},
-    {State::Live, Word::Current, State::Live, Effect::Nothing},
-    {State::Live, Word::Waiting, State::Live, Effect::Nothing},
-    {State::Live, Word::Late, State::Behind, Effect::Ask},
-    {State::Behind, Word::Applied, State::Behind, Effect::Answer},
-    {State::Behind, Word::Part, State::Behind, Effect::AnswerPart},
-    {State::Behind, Word::Known, State::Behind, Effect::Answer},
-    {State::Behind, Word::Gap, State::Behind,
-     Effect::Nothing}, // asked already; a beat will tell if it was lost
-    {State::Behind, Word::Current, State::Live, Effect::Nothing},
-    {State::Behind, Word::Waiting, State::Behind, Effect::Nothing},
-    {State::Behind, Word::Late, State::Behind, Effect::Ask},
-    {State::Any, Word::Welcome, State::Apart, Effect::Close}, // a second one, or before the greeting
-    {State::Any, Word::Gap, State::Any, Effect::Nothing},
+// The first row that matches applies; an event without a row changes nothing.
+const Subscription::Transition Subscription::kTransitions[] = {
+    {State::Disconnected, Event::Connected, State::Greeting, Effect::SendHello},
+    {State::Disconnected, Event::ConnectionClosed, State::Disconnected, Effect::Nothing},
+    {State::Greeting, Event::Welcomed, State::CatchingUp, Effect::AcceptWelcome},
+    {State::Any, Event::DisconnectNotice, State::Disconnected, Effect::Close},
+    {State::Any, Event::ProtocolError, State::Disconnected, Effect::Close},
+    {State::Any, Event::LeaseExpired, State::Disconnected, Effect::Close},
+    {State::Any, Event::ConnectionClosed, State::Disconnected, Effect::Close},
+    {State::Any, Event::UnknownFrame, State::Any, Effect::Nothing},
+    {State::Any, Event::OtherEpoch, State::Any, Effect::Nothing},
+    {State::CatchingUp, Event::Applied, State::CatchingUp, Effect::Acknowledge},
+    {State::CatchingUp, Event::PartReceived, State::CatchingUp, Effect::AcknowledgePart},
+    {State::CatchingUp, Event::Duplicate, State::CatchingUp, Effect::Acknowledge},
+    {State::CatchingUp, Event::Gap, State::Behind, Effect::RequestSnapshots},
+    {State::CatchingUp, Event::HeartbeatCurrent, State::Live, Effect::Nothing},
+    {State::CatchingUp, Event::HeartbeatPending, State::CatchingUp, Effect::Nothing},
+    {State::CatchingUp, Event::HeartbeatBehind, State::Behind, Effect::RequestSnapshots},
+    {State::Live, Event::Applied, State::Live, Effect::Acknowledge},
+    {State::Live, Event::PartReceived, State::Live, Effect::AcknowledgePart},
+    {State::Live, Event::Duplicate, State::Live, Effect::Acknowledge},
+    {State::Live, Event::Gap, State::Behind, Effect::RequestSnapshots},
+    {State::Live, Event::HeartbeatCurrent, State::Live, Effect::Nothing},
+    {State::Live, Event::HeartbeatPending, State::Live, Effect::Nothing},
+    {State::Live, Event::HeartbeatBehind, State::Behind, Effect::RequestSnapshots},
+    {State::Behind, Event::Applied, State::Behind, Effect::Acknowledge},
+    {State::Behind, Event::PartReceived, State::Behind, Effect::AcknowledgePart},
+    {State::Behind, Event::Duplicate, State::Behind, Effect::Acknowledge},
+    // A snapshot was requested already; a heartbeat shows if the request was lost.
+    {State::Behind, Event::Gap, State::Behind, Effect::Nothing},
+    {State::Behind, Event::HeartbeatCurrent, State::Live, Effect::Nothing},
+    {State::Behind, Event::HeartbeatPending, State::Behind, Effect::Nothing},
+    {State::Behind, Event::HeartbeatBehind, State::Behind, Effect::RequestSnapshots},
+    {State::Any, Event::Welcomed, State::Disconnected, Effect::Close}, // a second one, or before the greeting
+    {State::Any, Event::Gap, State::Any, Effect::Nothing},
 };
 
-Subscription::Subscription(Identity identity, Micros foreignHold, Changed changed)
-    : identity_(std::move(identity)), changed_(std::move(changed)), replica_(foreignHold) {}
+Subscription::Subscription(Identity identity, Micros foreignExclusionHold, OnChange onChange)
+    : identity_(std::move(identity)), onChange_(std::move(onChange)), replica_(foreignExclusionHold) {}
 
 std::string Subscription::connected(Micros now) {
-    now_ = heardAt_ = saidAt_ = now;
-    lease_ = kWelcomeMost;
-    beat_ = kWelcomeMost;
-    reader_ = pubsub::FrameReader(pubsub::kPlannerFrameMost);
-    parting_.reset();
+    now_ = now;
+    lastReceivedAt_ = now;
+    lastSentAt_ = now;
+    leaseDuration_ = kWelcomeTimeout;
+    heartbeatInterval_ = kWelcomeTimeout;
+    reader_ = pubsub::FrameReader(pubsub::kMaxServerFrameBytes);
+    disconnectNotice_.reset();
     refused_ = false;
-    fault_.clear();
-    late_.clear();
-    std::string out;
-    said(Word::Connected, {}, out);
-    return out;
+    lastError_.clear();
+    lags_.clear();
+    std::string reply;
+    handle(Event::Connected, {}, reply);
+    return reply;
 }
 
 std::string Subscription::feed(std::string_view bytes, Micros now) {
-    std::string out;
+    std::string reply;
     now_ = now;
-    if (!bytes.empty()) heardAt_ = now;
-    const auto fault = reader_.feed(bytes, [&](Frame& frame) { return said(wordOf(frame), frame, out); });
-    if (fault && usable()) {
-        fault_ = *fault;
-        said(Word::Unusable, {}, out);
-    }
-    if (!out.empty()) saidAt_ = now;
-    return out;
+    if (!bytes.empty()) lastReceivedAt_ = now;
+    const auto handleFrame = [&](Frame& frame) { return handle(eventOf(frame), frame, reply); };
+    const auto fault = reader_.feed(bytes, handleFrame);
+    if (fault && usable()) handle(protocolError(*fault), {}, reply);
+    if (!reply.empty()) lastSentAt_ = now;
+    return reply;
 }
 
 std::string Subscription::tick(Micros now) {
     now_ = now;
     if (!usable()) return {};
-    if (now - heardAt_ > lease_) {
-        fault_ = "the planner has been silent";
-        std::string none;
-        said(Word::Silent, {}, none);
+    if (now - lastReceivedAt_ > leaseDuration_) {
+        lastError_ = "the planner has been silent";
+        std::string noReply;
+        handle(Event::LeaseExpired, {}, noReply);
         return {};
     }
-    if (state_ == State::Greeting || now - saidAt_ < beat_) return {};
-    saidAt_ = now;
-    return header(FrameType::Beat, {}, {});
+    if (state_ == State::Greeting || now - lastSentAt_ < heartbeatInterval_) return {};
+    lastSentAt_ = now;
+    return encodeHeader(FrameType::Beat, {}, {});
 }
 
-std::string Subscription::encodeDemand(std::string_view product, std::uint32_t txns, std::uint32_t voided,
-                                       Micros span) {
+std::string Subscription::encodeDemand(std::string_view requestClass, std::uint32_t requests,
+                                       std::uint32_t unanswered, Micros interval) {
     if (!usable() || state_ == State::Greeting) return {};
     Frame frame{FrameType::Usage};
-    frame.body = write(pubsub::DemandRecord{std::string(product), txns, voided, span});
-    return writeFrame(frame, false);
+    frame.body = encode(pubsub::DemandRecord{std::string(requestClass), requests, unanswered, interval});
+    return encodeFrame(frame, false);
 }
 
 std::string Subscription::farewell(std::string_view reason) {
     Frame frame{FrameType::Bye};
-    frame.body = write(pubsub::DisconnectNotice{std::string(reason), {}});
-    return writeFrame(frame, false);
+    frame.body = encode(pubsub::DisconnectNotice{std::string(reason), {}});
+    return encodeFrame(frame, false);
 }
 
 void Subscription::connectionClosed() {
-    std::string none;
-    said(Word::Lost, {}, none);
+    std::string noReply;
+    handle(Event::ConnectionClosed, {}, noReply);
 }
 
-std::string Subscription::header(FrameType type, TopicId topic, Sequence sequence) const {
-    Frame frame{type};
-    frame.topic = topic;
-    frame.epoch = replica_.epoch();
-    frame.sequence = sequence;
-    return writeFrame(frame, false);
-}
-
-Subscription::Word Subscription::wordOf(const Frame& frame) {
-    using Outcome = pubsub::Replica::Outcome;
-    static constexpr std::pair<Outcome, Word> kWords[] = {
-        {Outcome::Applied, Word::Applied}, {Outcome::Part, Word::Part},
-        {Outcome::Known, Word::Known},     {Outcome::Gap, Word::Gap},
-        {Outcome::Foreign, Word::Foreign}, {Outcome::Unusable, Word::Unusable}};
+Subscription::Event Subscription::eventOf(const Frame& frame) {
     switch (frame.type) {
-    case FrameType::Welcome: return Word::Welcome;
+    case FrameType::Welcome: return Event::Welcomed;
     case FrameType::Refused:
-    case FrameType::Bye: return Word::Parted;
-    case FrameType::Beat: return wordOfBeat(frame);
+    case FrameType::Bye: return Event::DisconnectNotice;
+    case FrameType::Beat: return checkHeartbeat(frame);
     case FrameType::Snapshot:
-    case FrameType::Changes: break;
-    default: ++tally_.skipped; return Word::Skipped; // of a later version of the protocol
+    case FrameType::Changes: return applyToReplica(frame);
+    default: ++frameCounts_.skipped; return Event::UnknownFrame; // of a later version of the protocol
     }
-    if (state_ == State::Greeting) {
-        fault_ = "tables before a welcome";
-        return Word::Unusable;
-    }
-    const auto outcome = replica_.take(frame, now_);
-    if (outcome == Outcome::Unusable) fault_ = "a table that can't be read";
-    if (outcome == Outcome::Gap) wanted_ = {frame.topic};
-    std::uint64_t* const counts[] = {&tally_.applied, nullptr,         &tally_.known,
-                                     &tally_.gaps,    &tally_.foreign, &tally_.unusable};
-    if (auto* count = counts[static_cast<std::size_t>(outcome)]) ++*count;
-    const auto* const found = std::ranges::find(kWords, outcome, &std::pair<Outcome, Word>::first);
-    return found->second;
-}
-
-/// Guards against a tail that was lost on the way: what is missing, and has not moved for some beats, is asked
-/// for. What still moves is only slow.
-Subscription::Word Subscription::wordOfBeat(const Frame& frame) {
-    const auto heads = pubsub::readHeads(frame.body);
-    if (!heads) {
-        fault_ = "a beat that can't be read";
-        return Word::Unusable;
+}
+
+Subscription::Event Subscription::protocolError(std::string reason) {
+    lastError_ = std::move(reason);
+    return Event::ProtocolError;
+}
+
+Subscription::Event Subscription::applyToReplica(const Frame& frame) {
+    using Outcome = pubsub::Replica::Outcome;
+    if (state_ == State::Greeting) return protocolError("tables before a welcome");
+    switch (replica_.apply(frame, now_)) {
+    case Outcome::Applied: ++frameCounts_.applied; return Event::Applied;
+    case Outcome::PartReceived: return Event::PartReceived;
+    case Outcome::Duplicate: ++frameCounts_.duplicates; return Event::Duplicate;
+    case Outcome::OtherEpoch: ++frameCounts_.otherEpoch; return Event::OtherEpoch;
+    case Outcome::Gap:
+        ++frameCounts_.gaps;
+        topicsToRequest_ = {frame.topic};
+        return Event::Gap;
+    case Outcome::Invalid: break;
     }
-    if (frame.epoch != replica_.epoch()) return Word::Foreign;
-    const auto behind = replica_.behind(*heads, now_);
-    decltype(late_) late;
-    wanted_.clear();
+    ++frameCounts_.invalid;
+    return protocolError("a table that can't be read");
+}
+
+Subscription::Event Subscription::checkHeartbeat(const Frame& frame) {
+    const auto heads = pubsub::decodeTopicHeads(frame.body);
+    if (!heads) return protocolError("a beat that can't be read");
+    if (frame.epoch != replica_.epoch()) return Event::OtherEpoch;
+    const auto behind = replica_.topicsBehind(*heads, now_);
+    updateLags(behind);
+    if (behind.empty()) return Event::HeartbeatCurrent;
+    return topicsToRequest_.empty() ? Event::HeartbeatPending : Event::HeartbeatBehind;
+}
+
+/// Recovers from messages that were lost without a later one that would show the gap: what is missing and has made no
+/// progress for some heartbeats is requested. What still makes progress is only slow.
+void Subscription::updateLags(const std::vector<TopicId>& behind) {
+    std::map<TopicId, Lag> lags;
+    topicsToRequest_.clear();
     for (const TopicId topic : behind) {
-        const auto at = replica_.at(topic);
-        const auto before = late_.find(topic);
-        const bool moved = before == late_.end() || before->second.first != at;
-        int beats = moved ? 1 : before->second.second + 1;
-        if (beats >= kBeatsLate) wanted_.push_back(topic), beats = 0;
-        late[topic] = {at, beats};
+        const auto position = replica_.at(topic);
+        const auto previous = lags_.find(topic);
+        const bool hasMoved = previous == lags_.end() || previous->second.position != position;
+        int heartbeats = hasMoved ? 1 : previous->second.heartbeats + 1;
+        if (heartbeats >= kHeartbeatsBeforeRequest) {
+            topicsToRequest_.push_back(topic);
+            heartbeats = 0;
+        }
+        lags[topic] = {position, heartbeats};
     }
-    late_ = std::move(late);
-    if (behind.empty()) return Word::Current;
-    return wanted_.empty() ? Word::Waiting : Word::Late;
+    lags_ = std::move(lags);
 }
 
-/// False: nothing more is read.
-bool Subscription::said(Word word, const Frame& frame, std::string& reply) {
-    const auto* const row = std::ranges::find_if(kRows, [&](const Row& one) {
-        return one.word == word && (one.state == state_ || one.state == State::Any);
+bool Subscription::handle(Event event, const Frame& frame, std::string& reply) {
+    const auto* const row = std::ranges::find_if(kTransitions, [&](const Transition& candidate) {
+        return candidate.event == event && (candidate.state == state_ || candidate.state == State::Any);
     });
-    if (row == std::end(kRows)) return usable();
+    if (row == std::end(kTransitions)) return usable();
     const State before = state_;
     if (row->next != State::Any) state_ = row->next;
-    if (!act(row->effect, frame, reply)) {
-        state_ = State::Apart;
+    if (!perform(row->effect, frame, reply)) {
+        state_ = State::Disconnected;
         return false;
     }
-    const bool current = state_ == State::Live && before != State::Live;
-    if (changed_ && (word == Word::Applied || current))
-        changed_(word == Word::Applied ? std::optional(frame.topic) : std::nullopt);
+    const bool hasBecomeLive = state_ == State::Live && before != State::Live;
+    if (onChange_ && event == Event::Applied)
+        onChange_(frame.topic);
+    else if (onChange_ && hasBecomeLive)
+        onChange_(std::nullopt);
     return usable();
 }
 
-bool Subscription::act(Effect effect, const Frame& frame, std::string& reply) {
+bool Subscription::perform(Effect effect, const Frame& frame, std::string& reply) {
     switch (effect) {
     case Effect::Nothing: return true;
-    case Effect::Greet: {
-        pubsub::Hello hello;
-        hello.proxy = identity_.proxy;
-        hello.zone = identity_.zone;
-        hello.weight = identity_.weight;
-        hello.fresh = fresh_;
-        hello.have = replica_.have();
-        Frame out{FrameType::Hello};
-        out.body = write(hello);
-        reply += writeFrame(out, false);
+    case Effect::SendHello: reply += encodeHello(); return true;
+    case Effect::AcceptWelcome: return acceptWelcome(frame);
+    case Effect::Acknowledge:
+        if (frame.topic != pubsub::kExclusionsTopic) onlyBootstrapTable_ = false;
+        reply += encodeHeader(FrameType::Applied, frame.topic, replica_.at(frame.topic).value_or(Sequence{}));
         return true;
-    }
-    case Effect::Enter: {
-        const auto welcome = pubsub::readWelcome(frame.body);
-        if (!welcome || welcome->version != pubsub::kVersion)
-            return fault_ = "a welcome that can't be used", false;
-        planner_ = welcome->planner;
-        beat_ = welcome->beat;
-        lease_ = welcome->lease;
-        replica_.connected(frame.epoch);
-        return true;
-    }
-    case Effect::Answer:
-        fresh_ = fresh_ && frame.topic == pubsub::kWithdrawnTopic;
-        reply += header(FrameType::Applied, frame.topic, replica_.at(frame.topic).value_or(Sequence{}));
-        return true;
-    case Effect::AnswerPart: {
-        Frame out{FrameType::Applied};
-        out.topic = frame.topic;
-        out.epoch = frame.epoch;
-        out.sequence = frame.sequence;
-        out.more = true;
-        out.part = frame.part;
-        reply += writeFrame(out, false);
-        return true;
-    }
-    case Effect::Ask:
-        for (const TopicId topic : std::exchange(wanted_, {})) {
-            ++tally_.asked;
-            reply += header(FrameType::Ask, topic, replica_.at(topic).value_or(Sequence{}));
+    case Effect::AcknowledgePart: reply += encodePartAcknowledgment(frame); return true;
+    case Effect::RequestSnapshots:
+        for (const TopicId topic : std::exchange(topicsToRequest_, {})) {
+            ++frameCounts_.snapshotsRequested;
+            reply += encodeHeader(FrameType::Ask, topic, replica_.at(topic).value_or(Sequence{}));
         }
         return true;
     case Effect::Close:
-        if (frame.type == FrameType::Bye || frame.type == FrameType::Refused)
-            parting_ = pubsub::readParting(frame.body), refused_ = frame.type == FrameType::Refused;
+        if (frame.type == FrameType::Bye || frame.type == FrameType::Refused) {
+            disconnectNotice_ = pubsub::decodeDisconnectNotice(frame.body);
+            refused_ = frame.type == FrameType::Refused;
+        }
         return true;
     }
     return false;
 }
 
+bool Subscription::acceptWelcome(const Frame& frame) {
+    const auto welcome = pubsub::decodeWelcome(frame.body);
+    if (!welcome || welcome->version != pubsub::kProtocolVersion) {
+        lastError_ = "a welcome that can't be used";
+        return false;
+    }
+    planner_ = welcome->planner;
+    heartbeatInterval_ = welcome->heartbeatInterval;
+    leaseDuration_ = welcome->leaseDuration;
+    replica_.sessionAccepted(frame.epoch);
+    return true;
+}
+
+std::string Subscription::encodeHello() const {
+    pubsub::Hello hello;
+    hello.proxy = identity_.proxy;
+    hello.zone = identity_.zone;
+    hello.weight = identity_.weight;
+    hello.onlyBootstrapTable = onlyBootstrapTable_;
+    hello.positions = replica_.positions();
+    Frame frame{FrameType::Hello};
+    frame.body = encode(hello);
+    return encodeFrame(frame, false);
+}
+
+std::string Subscription::encodePartAcknowledgment(const Frame& frame) const {
+    Frame acknowledgment{FrameType::Applied};
+    acknowledgment.topic = frame.topic;
+    acknowledgment.epoch = frame.epoch;
+    acknowledgment.sequence = frame.sequence;
+    acknowledgment.more = true;
+    acknowledgment.part = frame.part;
+    return encodeFrame(acknowledgment, false);
+}
+
+std::string Subscription::encodeHeader(FrameType type, TopicId topic, Sequence sequence) const {
+    Frame frame{type};
+    frame.topic = topic;
+    frame.epoch = replica_.epoch();
+    frame.sequence = sequence;
+    return encodeFrame(frame, false);
+}
+
 } // namespace zincstack::client
--- a/src/client/subscription.h
+++ b/src/client/subscription.h
@@ -1,5 +1,5 @@
-// A front end's side of the channel: what to say on a stream, and what its frames do to the replica. A state
-// machine fed bytes; it knows no socket, and the clock is handed in.
+// The client's side of a pub-sub session: which bytes to send, and what received frames do to the replica. A state
+// machine that is fed bytes; it knows no socket, and the clock is handed in.
 #pragma once
 
 #include <cstdint>
@@ -8,104 +8,149 @@
 #include <optional>
 #include <string>
 #include <string_view>
+#include <vector>
 
+#include "pubsub/frame.h"
+#include "pubsub/message_body.h"
 #include "pubsub/replica.h"
-#include "pubsub/wire.h"
 
 namespace zincstack::client {
 
 struct Identity {
-    std::optional<ProxyId> proxy; ///< none: it only watches
+    std::optional<ProxyId> proxy; ///< none: an observer, which is no proxy
     std::string zone;
-    double weight = 1; ///< rough txns a second
+    double weight = 1; ///< approximate requests per second
 };
 
+/// One client's subscription across any number of sessions; the replica survives their end.
 class Subscription {
 public:
-    /// A topic has changed, or all is known to be current (no topic). Called from inside `feed`.
-    using Changed = std::function<void(std::optional<pubsub::TopicId>)>;
+    /// Called from inside `feed` when a topic has changed or, without a topic, when the replica has become current.
+    using OnChange = std::function<void(std::optional<pubsub::TopicId>)>;
 
-    Subscription(Identity identity, Micros foreignHold, Changed changed = {});
+    /// `foreignExclusionHold`: see pubsub::Replica.
+    Subscription(Identity identity, Micros foreignExclusionHold, OnChange onChange = {});
 
-    /// A new stream is up: the greeting to write.
+    /// A connection was opened. Returns the greeting to send.
     std::string connected(Micros now);
-    /// Feeds what came. What to write back; `usable()` is false once the stream is spent.
+    /// Handles received bytes. Returns the bytes to send back; `usable()` is false once the session has ended.
     std::string feed(std::string_view bytes, Micros now);
-    /// To be called each tenth of a second or so: a sign of life if one is due. A planner that has been silent
-    /// for the length of the lease is given up.
+    /// To be called at least every tenth of a second or so. Returns a heartbeat if one is due. Ends the session where
+    /// the planner has been silent for the length of the lease.
     std::string tick(Micros now);
-    /// What its txns came to since the last such line.
-    std::string encodeDemand(std::string_view product, std::uint32_t txns, std::uint32_t voided, Micros span);
-    /// The last frame of a stream that this side ends.
+    /// The frame that reports the demand since the last such report; empty where there is no established session.
+    std::string encodeDemand(std::string_view requestClass, std::uint32_t requests, std::uint32_t unanswered,
+                             Micros interval);
+    /// The last frame of a session that this side ends.
     std::string farewell(std::string_view reason);
-    /// The stream has ended.
+    /// The connection has ended.
     void connectionClosed();
 
-    enum class State : std::uint8_t { Apart, Greeting, CatchingUp, Live, Behind, Any };
+    enum class State : std::uint8_t {
+        Disconnected,
+        Greeting,   ///< Hello sent
+        CatchingUp, ///< accepted; the replica is not current yet
+        Live,       ///< the replica was current at the last heartbeat
+        Behind,     ///< something is missing and a snapshot has been requested
+        Any,        ///< in the transition table alone
+    };
     State state() const { return state_; }
-    bool usable() const { return state_ != State::Apart; }
+    bool usable() const { return state_ != State::Disconnected; }
     const pubsub::Replica& replica() const { return replica_; }
-    /// The planner's last words on the last stream, and when to come back.
-    const std::optional<pubsub::DisconnectNotice>& disconnectNotice() const { return parting_; }
-    /// They were a refusal: the same greeting will be refused again.
+    /// Why and for how long the planner ended the last session; none where it did not.
+    const std::optional<pubsub::DisconnectNotice>& disconnectNotice() const { return disconnectNotice_; }
+    /// The last session was refused: the same greeting will be refused again.
     bool refused() const { return refused_; }
     const std::string& planner() const { return planner_; }
-    /// Why the last stream could not be used further, in one line; empty where it just ended.
-    const std::string& lastError() const { return fault_; }
+    /// Why the last session could not be continued, in one line; empty where it just ended.
+    const std::string& lastError() const { return lastError_; }
 
-    struct Tally {
-        std::uint64_t applied = 0, known = 0, gaps = 0, foreign = 0, unusable = 0, asked = 0, skipped = 0;
+    /// Frames received, by what they did to the replica, and snapshots requested.
+    struct FrameCounts {
+        std::uint64_t applied = 0;
+        std::uint64_t duplicates = 0;
+        std::uint64_t gaps = 0;
+        std::uint64_t otherEpoch = 0;
+        std::uint64_t invalid = 0;
+        std::uint64_t skipped = 0; ///< of unknown types
+        std::uint64_t snapshotsRequested = 0;
     };
-    const Tally& tally() const { return tally_; }
+    const FrameCounts& frameCounts() const { return frameCounts_; }
 
 private:
-    enum class Word : std::uint8_t {
+    enum class Event : std::uint8_t {
         Connected,
-        Welcome,
-        Parted,
+        Welcomed,
+        DisconnectNotice,
         Applied,
-        Part,
-        Known,
+        PartReceived,
+        Duplicate,
         Gap,
-        Foreign,
-        Current, ///< a beat: all is here
-        Late,    ///< a beat: something is missing, and has been for a while
-        Waiting, ///< a beat: something is missing that may still be on its way
-        Skipped,
-        Unusable,
-        Silent,
-        Lost,
+        OtherEpoch,
+        HeartbeatCurrent, ///< the replica has everything
+        HeartbeatPending, ///< something is missing that may still be on its way
+        HeartbeatBehind,  ///< something is missing, and its position has not moved for a while
+        UnknownFrame,
+        ProtocolError,
+        LeaseExpired,
+        ConnectionClosed,
+    };
+    enum class Effect : std::uint8_t {
+        Nothing,
+        SendHello,
+        AcceptWelcome,
+        Acknowledge,
+        AcknowledgePart,
+        RequestSnapshots,
+        Close,
     };
-    enum class Effect : std::uint8_t { Nothing, Greet, Enter, Answer, AnswerPart, Ask, Close };
-    struct Row {
+    struct Transition {
         State state;
-        Word word;
-        State next;
+        Event event;
+        State next; ///< Any: unchanged
         Effect effect;
     };
-    static const Row kRows[];
+    static const Transition kTransitions[];
+
+    /// Position of a topic of which something is missing, and for how many heartbeats it has not moved.
+    struct Lag {
+        std::optional<pubsub::Sequence> position;
+        int heartbeats = 0;
+    };
 
-    bool said(Word word, const pubsub::Frame& frame, std::string& reply);
-    bool act(Effect effect, const pubsub::Frame& frame, std::string& reply);
-    Word wordOf(const pubsub::Frame& frame);
-    Word wordOfBeat(const pubsub::Frame& frame);
-    void ask(pubsub::TopicId topic, std::string& reply);
-    std::string header(pubsub::FrameType type, pubsub::TopicId topic, pubsub::Sequence sequence) const;
+    /// Applies an event to the state and appends to `reply`. False: nothing more is read from the connection.
+    bool handle(Event event, const pubsub::Frame& frame, std::string& reply);
+    /// False: the session cannot be continued.
+    bool perform(Effect effect, const pubsub::Frame& frame, std::string& reply);
+    Event eventOf(const pubsub::Frame& frame);
+    Event applyToReplica(const pubsub::Frame& frame);
+    Event checkHeartbeat(const pubsub::Frame& frame);
+    /// Counts the heartbeats of each lagging topic; fills `topicsToRequest_`.
+    void updateLags(const std::vector<pubsub::TopicId>& behind);
+    Event protocolError(std::string reason);
+    bool acceptWelcome(const pubsub::Frame& frame);
+    std::string encodeHello() const;
+    std::string encodePartAcknowledgment(const pubsub::Frame& frame) const;
+    std::string encodeHeader(pubsub::FrameType type, pubsub::TopicId topic, pubsub::Sequence sequence) const;
 
     const Identity identity_;
-    const Changed changed_;
+    const OnChange onChange_;
     pubsub::Replica replica_;
-    pubsub::FrameReader reader_{pubsub::kPlannerFrameMost};
-    State state_ = State::Apart;
+    pubsub::FrameReader reader_{pubsub::kMaxServerFrameBytes};
+    State state_ = State::Disconnected;
     bool refused_ = false;
-    bool fresh_ = true; // no table that was ordered has come yet
-    std::string planner_, fault_;
-    std::optional<pubsub::DisconnectNotice> parting_;
-    Micros now_{}, beat_{}, lease_{}, heardAt_{}, saidAt_{};
-    std::map<pubsub::TopicId, std::pair<std::optional<pubsub::Sequence>, int>>
-        late_;                            // where, beats without a move
-    std::vector<pubsub::TopicId> wanted_; // topics to ask for
-    Tally tally_;
+    bool onlyBootstrapTable_ = true; // no table that a planner assigned has come yet
+    std::string planner_;
+    std::string lastError_;
+    std::optional<pubsub::DisconnectNotice> disconnectNotice_;
+    Micros now_{};
+    Micros heartbeatInterval_{};
+    Micros leaseDuration_{};
+    Micros lastReceivedAt_{};
+    Micros lastSentAt_{};
+    std::map<pubsub::TopicId, Lag> lags_;
+    std::vector<pubsub::TopicId> topicsToRequest_;
+    FrameCounts frameCounts_;
 };
 
 } // namespace zincstack::client
--- a/src/client/subscription_client.h
+++ b/src/client/subscription_client.h
@@ -1,5 +1,5 @@
-// Keeps a subscription up: dials planners, carries bytes, gives signs of life. A thin driver; what to say is the
-// subscription's, when and whom to dial the redial's.
+// Keeps a subscription connected: connects to planners, transfers bytes and drives the timers. A thin adapter:
+// Subscription decides what to send, ReconnectBackoff when and where to reconnect.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -11,6 +11,7 @@
 #include <functional>
 #include <memory>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "client/reconnect_backoff.h"
@@ -18,48 +19,62 @@
 
 namespace zincstack::client {
 
+/// To be owned by a shared_ptr; runs on the thread of `io` alone.
 class SubscriptionClient : public std::enable_shared_from_this<SubscriptionClient> {
 public:
     using Endpoint = boost::asio::ip::tcp::endpoint;
-    /// Something that is worth a line for people: a stream came up or ended, and why.
-    using Told = std::function<void(const std::string& line)>;
+    /// A line for people: a session was established or has ended, and why.
+    using OnStatus = std::function<void(const std::string& line)>;
 
-    /// `planners`: one at least, tried in turn. `seed`: for the spread of waits.
+    /// `planners`: at least one, tried in turn. `seed`: of the backoff's jitter. `foreignExclusionHold`: see
+    /// pubsub::Replica.
     SubscriptionClient(boost::asio::io_context& io, std::vector<Endpoint> planners, Identity identity,
-                       const ReconnectConfig& terms, std::uint64_t seed, Micros foreignHold,
-                       Subscription::Changed changed = {}, Told told = {});
+                       const ReconnectConfig& reconnect, std::uint64_t seed, Micros foreignExclusionHold,
+                       Subscription::OnChange onChange = {}, OnStatus onStatus = {});
 
     void start();
-    /// Says goodbye and dials no more.
+    /// Sends a goodbye and does not reconnect.
     void stop();
-    /// Drops the stream without a word, as a broken network does; it dials again. For tests and drills.
+    /// Resets the connection as a broken network does; the client reconnects. For tests and drills.
     void dropConnection();
-    /// Reads nothing until it is let go on, as a front end does that stands still. For tests and drills.
-    void pauseReading(bool on);
-    /// Queues a usage line on the stream that is up, if one is.
-    void reportDemand(std::string_view product, std::uint32_t txns, std::uint32_t voided, Micros span);
+    /// Stops reading until it is switched off again, as a hanging client does. For tests and drills.
+    void pauseReading(bool paused);
+    /// Reports demand in the session that is established, if any.
+    void reportDemand(std::string_view requestClass, std::uint32_t requests, std::uint32_t unanswered,
+                      Micros interval);
 
     const Subscription& subscription() const { return subscription_; }
-    std::uint64_t streams() const { return streams_; } ///< that came up so far
+    /// Sessions established so far.
+    std::uint64_t sessionCount() const { return sessionCount_; }
     static Micros now();
 
 private:
     boost::asio::awaitable<void> run();
-    boost::asio::awaitable<void> converse(Endpoint at);
-    void say(std::string bytes);
-    void pulse();
-    void tell(const std::string& line) const;
+    boost::asio::awaitable<void> runSession(Endpoint planner);
+    boost::asio::awaitable<void> waitUntilReadingResumes();
+    /// Reads once. False: the connection has ended.
+    bool readAvailable(std::string& buffer);
+    void noteEstablished(const Endpoint& planner);
+    /// Why the last session ended, in one line.
+    std::string endReason(bool wasEstablished) const;
+    void scheduleTick();
+    void send(const std::string& bytes);
+    void reportStatus(const std::string& line) const;
 
     boost::asio::io_context& io_;
     const std::vector<Endpoint> planners_;
-    ReconnectBackoff redial_;
+    ReconnectBackoff backoff_;
     Subscription subscription_;
-    const Told told_;
+    const OnStatus onStatus_;
     boost::asio::ip::tcp::socket socket_;
-    boost::asio::steady_timer pause_, pulse_, stalled_;
-    bool stopped_ = false, reading_ = true;
-    std::uint64_t streams_ = 0;
-    std::string waiting_; // not taken by the socket yet
+    boost::asio::steady_timer backoffTimer_;
+    boost::asio::steady_timer tickTimer_;
+    boost::asio::steady_timer resumeTimer_; // never expires; cancelled when reading resumes
+    bool isStopped_ = false;
+    bool isReadingPaused_ = false;
+    bool isEstablished_ = false; // the current session
+    std::uint64_t sessionCount_ = 0;
+    std::string unsentBytes_; // not taken by the socket yet
 };
 
 } // namespace zincstack::client
--- a/src/command/run.cpp
+++ b/src/command/run.cpp
@@ -158,16 +158,19 @@
     pubsub::PubsubService channel(
         io, counters, pushes,
         [&] {
+            const pubsub::ServerConfig config{
+                .plannerName = station.name,
+                .epoch = pubsub::Epoch{static_cast<std::uint64_t>(engine.now().count())},
+                .proxyCount = start.forwarders.proxyCount,
+                .flowControl = {channelTerms.windowLines, channelTerms.windowBytes,
+                                start.channel.maxQueuedLines, channelTerms.memoryBytes},
+                .leases = {.heartbeatInterval = channelTerms.heartbeatInterval,
+                           .leaseDuration = channelTerms.leaseDuration,
+                           .stallTimeout = channelTerms.stallTimeout,
+                           .reconnectsPerSecond = channelTerms.reconnectsPerSecond},
+                .maxTombstones = channelTerms.maxTombstones};
             return std::make_unique<pubsub::SubscriptionServer>(
-                book, names, counters, station.name,
-                pubsub::Epoch{static_cast<std::uint64_t>(engine.now().count())}, start.forwarders.proxyCount,
-                pubsub::FlowControlLimits{channelTerms.windowLines, channelTerms.windowBytes,
-                                          start.channel.maxQueuedLines, channelTerms.memoryBytes},
-                pubsub::LeaseConfig{.heartbeatInterval = channelTerms.heartbeatInterval,
-                                    .leaseDuration = channelTerms.leaseDuration,
-                                    .stallTimeout = channelTerms.stallTimeout,
-                                    .reconnectsPerSecond = channelTerms.reconnectsPerSecond},
-                channelTerms.maxTombstones, [&engine]() -> Planner& { return engine.openBatch(); },
+                book, names, counters, config, [&engine]() -> Planner& { return engine.openBatch(); },
                 [&engine] { return engine.now(); });
         },
         channelTerms.heartbeatInterval);
--- a/src/command/subscribe.cpp
+++ b/src/command/subscribe.cpp
@@ -5,7 +5,12 @@
 
 #include <cstdio>
 #include <map>
+#include <memory>
+#include <optional>
 #include <random>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "client/subscription_client.h"
 #include "errors/input_error.h"
@@ -16,120 +21,139 @@
 
 namespace {
 
-constexpr Micros kForeignHold = std::chrono::seconds(10);
+constexpr Micros kForeignExclusionHold = std::chrono::seconds(10);
+constexpr int kExitRefused = 2; // the same greeting would be refused again
 
-/// Prints what differs from what was printed last.
-class Printer {
+/// What of a table a client uses: the endpoints that it may send to, and the admission limits.
+struct TableView {
+    std::map<std::string, double> weights;
+    std::map<std::string, pubsub::AdmissionLimit> admission;
+    friend bool operator==(const TableView&, const TableView&) = default;
+};
+
+void printWeights(const TableView& previous, const TableView& current, bool isFirst) {
+    for (const auto& [endpoint, weight] : current.weights) {
+        const auto before = previous.weights.find(endpoint);
+        if (before == previous.weights.end())
+            std::printf("  %s %s at %g\n", isFirst ? " " : "+", endpoint.c_str(), weight);
+        else if (before->second != weight)
+            std::printf("  * %s from %g to %g\n", endpoint.c_str(), before->second, weight);
+    }
+    for (const auto& [endpoint, weight] : previous.weights)
+        if (!current.weights.contains(endpoint)) std::printf("  - %s\n", endpoint.c_str());
+}
+
+void printAdmission(const TableView& previous, const TableView& current) {
+    for (const auto& [requestClass, admission] : current.admission) {
+        const auto before = previous.admission.find(requestClass);
+        const bool isUnchanged = before != previous.admission.end() && before->second == admission;
+        if (!isUnchanged) std::printf("  %s let in: %g\n", requestClass.c_str(), admission.limit);
+    }
+}
+
+/// Prints the tables of a client as they change, as text or as one JSON object a line.
+class TablePrinter {
 public:
-    Printer(bool json, const client::SubscriptionClient* const& link) : json_(json), link_(link) {}
+    explicit TablePrinter(bool asJson) : asJson_(asJson) {}
 
-    void changed(std::optional<pubsub::TopicId> topic) {
-        if (!topic) return; // it is current: nothing new to show
-        const auto& replica = link_->subscription().replica();
+    /// Prints the tables that the change of a topic concerns and that differ from what was printed last.
+    void onTopicChanged(const pubsub::Replica& replica, pubsub::TopicId topic) {
         const Micros now = client::SubscriptionClient::now();
-        for (const auto& [id, table] : replica.tables())
-            if (id == *topic || *topic == pubsub::kWithdrawnTopic) show(id, table, now);
+        for (const auto& [candidate, table] : replica.tables())
+            if (candidate == topic || topic == pubsub::kExclusionsTopic)
+                printIfChanged(replica, candidate, table, now);
         std::fflush(stdout);
     }
-    std::uint32_t shown() const { return shown_; }
+    std::uint32_t printedCount() const { return printedCount_; }
 
 private:
-    struct Shown {
-        std::map<std::string, double> lines; ///< that may be picked
-        std::map<std::string, pubsub::AdmissionLimit> levels;
-    };
-    void show(pubsub::TopicId id, const pubsub::RoutingTable& table, Micros now) {
-        const auto& replica = link_->subscription().replica();
-        Shown next{{}, table.admission};
-        for (const auto& [server, weight] : replica.picks(table, now)) next.lines[server] = weight;
-        const auto found = shownOf_.find(id);
-        const bool first = found == shownOf_.end();
-        const Shown before = first ? Shown{} : found->second;
-        if (!first && before.lines == next.lines && before.levels == next.levels) return;
-        ++shown_;
-        const auto sequence = replica.at(id).value_or(pubsub::Sequence{}).value;
-        if (json_)
-            asJson(id, table, next, sequence);
+    void printIfChanged(const pubsub::Replica& replica, pubsub::TopicId topic,
+                        const pubsub::RoutingTable& table, Micros now) {
+        TableView current{{}, table.admission};
+        for (const auto& [endpoint, weight] : replica.eligibleEndpoints(table, now))
+            current.weights[endpoint] = weight;
+        const auto [place, isFirst] = printed_.try_emplace(topic);
+        const TableView previous = std::exchange(place->second, current);
+        if (!isFirst && previous == current) return;
+        ++printedCount_;
+        if (asJson_)
+            printJson(replica, topic, table, current);
         else
-            asText(id, table, before, next, sequence, first);
-        shownOf_[id] = std::move(next);
+            printText(replica, topic, table, previous, current, isFirst);
     }
-    void asJson(pubsub::TopicId id, const pubsub::RoutingTable& table, const Shown& now,
-                std::uint64_t sequence) const {
-        nlohmann::ordered_json out{{"topic", id.value},
-                                   {"epoch", link_->subscription().replica().epoch().value},
-                                   {"sequence", sequence},
+    static void printJson(const pubsub::Replica& replica, pubsub::TopicId topic,
+                          const pubsub::RoutingTable& table, const TableView& current) {
+        nlohmann::ordered_json out{{"topic", topic.value},
+                                   {"epoch", replica.epoch().value},
+                                   {"sequence", sequenceOf(replica, topic)},
                                    {"products", table.requestClasses},
-                                   {"lines", now.lines}};
+                                   {"lines", current.weights}};
         auto& levels = out["levels"] = nlohmann::ordered_json::object();
-        for (const auto& [product, level] : now.levels)
-            levels[product] = {{"level", level.limit}, {"tries", static_cast<int>(level.retryPolicy)}};
+        for (const auto& [requestClass, admission] : current.admission)
+            levels[requestClass] = {{"level", admission.limit},
+                                    {"tries", static_cast<int>(admission.retryPolicy)}};
         std::printf("%s\n", out.dump().c_str());
     }
-    static void asText(pubsub::TopicId id, const pubsub::RoutingTable& table, const Shown& before,
-                       const Shown& now, std::uint64_t sequence, bool first) {
-        std::string products;
-        for (const auto& one : table.requestClasses) products += (products.empty() ? "" : "+") + one;
-        std::printf("table %u for %s, change %llu: %zu servers\n", id.value, products.c_str(),
-                    static_cast<unsigned long long>(sequence), now.lines.size());
-        for (const auto& [server, weight] : now.lines) {
-            const auto was = before.lines.find(server);
-            if (was == before.lines.end())
-                std::printf("  %s %s at %g\n", first ? " " : "+", server.c_str(), weight);
-            else if (was->second != weight)
-                std::printf("  * %s from %g to %g\n", server.c_str(), was->second, weight);
-        }
-        for (const auto& [server, weight] : before.lines)
-            if (!now.lines.contains(server)) std::printf("  - %s\n", server.c_str());
-        for (const auto& [product, level] : now.levels)
-            if (const auto was = before.levels.find(product);
-                was == before.levels.end() || !(was->second == level))
-                std::printf("  %s let in: %g\n", product.c_str(), level.limit);
+    static void printText(const pubsub::Replica& replica, pubsub::TopicId topic,
+                          const pubsub::RoutingTable& table, const TableView& previous,
+                          const TableView& current, bool isFirst) {
+        std::string requestClasses;
+        for (const auto& name : table.requestClasses)
+            requestClasses += (requestClasses.empty() ? "" : "+") + name;
+        std::printf("table %u for %s, change %llu: %zu servers\n", topic.value, requestClasses.c_str(),
+                    static_cast<unsigned long long>(sequenceOf(replica, topic)), current.weights.size());
+        printWeights(previous, current, isFirst);
+        printAdmission(previous, current);
+    }
+    static std::uint64_t sequenceOf(const pubsub::Replica& replica, pubsub::TopicId topic) {
+        return replica.at(topic).value_or(pubsub::Sequence{}).value;
     }
 
-    const bool json_;
-    const client::SubscriptionClient* const& link_;
-    std::uint32_t shown_ = 0;
-    std::map<pubsub::TopicId, Shown> shownOf_;
+    const bool asJson_;
+    std::uint32_t printedCount_ = 0;
+    std::map<pubsub::TopicId, TableView> printed_;
 };
 
+std::vector<client::SubscriptionClient::Endpoint> parsePlanners(const std::vector<std::string>& addresses) {
+    std::vector<client::SubscriptionClient::Endpoint> planners;
+    for (const auto& text : addresses) {
+        const auto address = net::parseAddress(text);
+        if (!address) throw InputError("subscribe: no address: '" + text + "'");
+        planners.push_back(*address);
+    }
+    return planners;
+}
+
 } // namespace
 
 int subscribe(const Subscribe& order) {
-    std::vector<client::SubscriptionClient::Endpoint> planners;
-    for (const auto& text : order.planners) {
-        const auto at = net::parseAddress(text);
-        if (!at) throw InputError("subscribe: no address: '" + text + "'");
-        planners.push_back(*at);
-    }
     boost::asio::io_context io(1);
-    boost::asio::signal_set end(io, SIGTERM, SIGINT);
-    const client::SubscriptionClient* shared = nullptr;
-    int code = 0;
-    Printer printer(order.json, shared);
+    boost::asio::signal_set signals(io, SIGTERM, SIGINT);
+    std::shared_ptr<client::SubscriptionClient> subscriber;
+    int exitCode = 0;
+    TablePrinter printer(order.json);
+    const auto onChange = [&](std::optional<pubsub::TopicId> topic) {
+        if (topic) printer.onTopicChanged(subscriber->subscription().replica(), *topic);
+        if (order.changes && printer.printedCount() >= order.changes) io.stop();
+    };
+    const auto onStatus = [&](const std::string& line) {
+        std::fprintf(stderr, "%s\n", line.c_str());
+        const auto& subscription = subscriber->subscription();
+        if (!subscription.refused() || subscription.disconnectNotice()->retryAfter) return;
+        exitCode = kExitRefused;
+        io.stop();
+    };
     const auto proxy = order.proxy ? std::optional(ProxyId{*order.proxy}) : std::nullopt;
-    const auto link = std::make_shared<client::SubscriptionClient>(
-        io, planners, client::Identity{proxy, order.zone, order.weight}, client::ReconnectConfig{},
-        std::random_device{}(), kForeignHold,
-        [&](std::optional<pubsub::TopicId> topic) {
-            printer.changed(topic);
-            if (order.changes && printer.shown() >= order.changes) io.stop();
-        },
-        [&](const std::string& told) {
-            std::fprintf(stderr, "%s\n", told.c_str());
-            const auto& mine = shared->subscription();
-            if (!mine.refused() || mine.disconnectNotice()->retryAfter) return;
-            code = 2; // it would be refused again
-            io.stop();
-        });
-    shared = link.get();
-    end.async_wait([&](const boost::system::error_code& error, int) {
+    subscriber = std::make_shared<client::SubscriptionClient>(
+        io, parsePlanners(order.planners), client::Identity{proxy, order.zone, order.weight},
+        client::ReconnectConfig{}, std::random_device{}(), kForeignExclusionHold, onChange, onStatus);
+    signals.async_wait([&](const boost::system::error_code& error, int) {
         if (!error) io.stop();
     });
-    link->start();
+    subscriber->start();
     io.run();
-    link->stop();
-    return code;
+    subscriber->stop();
+    return exitCode;
 }
 
 } // namespace zincstack::command
--- a/src/pubsub/flow_control.cpp
+++ b/src/pubsub/flow_control.cpp
@@ -1,7 +1,6 @@
 #include "pubsub/flow_control.h"
 
 #include <algorithm>
-#include <utility>
 
 #include "planner/channel_credit.h"
 
@@ -9,69 +8,85 @@
 
 namespace {
 
-// Parts of the queue: withdrawals and snapshots as the decision module's own, changes between.
-constexpr double kPartOf[kUrgencies] = {kDeadlineQueueFraction, 0.75, kOrdinaryQueueFraction};
-// Of its own window a withdrawal may use twice: it goes out beside what a slow reader has not taken yet.
-constexpr std::size_t kOwnTimes[kUrgencies] = {2, 1, 1};
+// Fractions of the queue by priority: exclusions and snapshots as the planner's own, changes in between.
+constexpr double kQueueFraction[kPriorityCount] = {kDeadlineQueueFraction, 0.75, kOrdinaryQueueFraction};
+// An exclusion may use the subscriber's window twice: it is sent beside what a slow reader has not read yet.
+constexpr std::size_t kWindowFactor[kPriorityCount] = {2, 1, 1};
+
+std::size_t indexOf(MessagePriority priority) { return static_cast<std::size_t>(priority); }
 
 } // namespace
 
-/// A message larger than a window goes where nothing else is on its way: else it never would.
-FlowControl::Verdict FlowControl::may(Urgency urgency, std::size_t lines, std::size_t bytes,
-                                      const Window& own, std::size_t elsewhere) const {
-    const auto place = static_cast<std::size_t>(urgency);
-    const bool ownFits = own.lines + lines <= kOwnTimes[place] * terms_.maxLinesPerSubscriber &&
-                         own.bytes + bytes <= kOwnTimes[place] * terms_.maxBytesPerSubscriber;
-    if ((!ownFits && own.bytes > 0) || (own.stuck && urgency != Urgency::Withdrawal)) return Verdict::OwnFull;
-    if (all_.bytes + bytes > kOwnTimes[place] * terms_.maxTotalBytes && all_.bytes > 0)
-        return Verdict::AllFull;
-    const auto all = static_cast<double>(all_.lines + elsewhere + lines);
-    if (all > kPartOf[place] * terms_.maxQueuedLines && all_.lines + elsewhere > 0) return Verdict::AllFull;
-    return Verdict::Go;
+bool FlowControl::fitsSubscriberWindow(MessagePriority priority, const MessageSize& size,
+                                       const Window& window) const {
+    if (window.isAckOverdue && priority != MessagePriority::Exclusion) return false;
+    const std::size_t factor = kWindowFactor[indexOf(priority)];
+    const bool fits = window.lines + size.lines <= factor * limits_.maxLinesPerSubscriber &&
+                      window.bytes + size.bytes <= factor * limits_.maxBytesPerSubscriber;
+    return fits || window.bytes == 0;
+}
+
+bool FlowControl::fitsTotalWindow(MessagePriority priority, const MessageSize& size,
+                                  std::size_t linesElsewhere) const {
+    const std::size_t maxBytes = kWindowFactor[indexOf(priority)] * limits_.maxTotalBytes;
+    if (total_.bytes + size.bytes > maxBytes && total_.bytes > 0) return false;
+    const double maxLines = kQueueFraction[indexOf(priority)] * limits_.maxQueuedLines;
+    const std::size_t queuedLines = total_.lines + linesElsewhere;
+    return static_cast<double>(queuedLines + size.lines) <= maxLines || queuedLines == 0;
+}
+
+FlowControl::Decision FlowControl::check(MessagePriority priority, const MessageSize& size,
+                                         const Window& window, std::size_t linesElsewhere) const {
+    if (!fitsSubscriberWindow(priority, size, window)) return Decision::SubscriberWindowFull;
+    if (!fitsTotalWindow(priority, size, linesElsewhere)) return Decision::TotalWindowFull;
+    return Decision::Send;
 }
 
-void FlowControl::sent(Window& own, std::size_t lines, std::size_t bytes) {
-    own.lines += lines;
-    own.bytes += bytes;
-    all_.bytes += bytes;
-    all_.lines += lines;
-    mostLines_ = std::max(mostLines_, all_.lines);
+void FlowControl::onSent(Window& window, const MessageSize& size) {
+    window.lines += size.lines;
+    window.bytes += size.bytes;
+    total_.lines += size.lines;
+    total_.bytes += size.bytes;
+    maxLinesSeen_ = std::max(maxLinesSeen_, total_.lines);
 }
 
-void FlowControl::answered(Window& own, std::size_t lines, std::size_t bytes) {
-    own.lines -= lines;
-    own.bytes -= bytes;
-    all_.bytes -= bytes;
-    all_.lines -= lines;
-    if (own.bytes == 0) own.stuck = false;
+void FlowControl::onAcknowledged(Window& window, const MessageSize& size) {
+    window.lines -= size.lines;
+    window.bytes -= size.bytes;
+    total_.lines -= size.lines;
+    total_.bytes -= size.bytes;
+    if (window.bytes == 0) window.isAckOverdue = false;
 }
 
-void FlowControl::stuck(Window& own) { own.stuck = true; }
+void FlowControl::markAckOverdue(Window& window) { window.isAckOverdue = true; }
 
-void FlowControl::wait(SubscriberId subscriber, Urgency urgency, bool first) {
-    auto& line = waiting_[static_cast<std::size_t>(urgency)];
-    first ? line.push_front(subscriber) : line.push_back(subscriber);
+void FlowControl::enqueueWaiter(SubscriberId subscriber, MessagePriority priority, bool atFront) {
+    auto& queue = waiters_[indexOf(priority)];
+    if (atFront)
+        queue.push_front(subscriber);
+    else
+        queue.push_back(subscriber);
 }
 
-std::optional<std::pair<SubscriberId, Urgency>> FlowControl::next() {
-    for (std::size_t place = 0; place < kUrgencies; ++place) {
-        if (waiting_[place].empty()) continue;
-        const SubscriberId first = waiting_[place].front();
-        waiting_[place].pop_front();
-        return std::pair(first, static_cast<Urgency>(place));
+std::optional<SubscriberId> FlowControl::dequeueWaiter() {
+    for (auto& queue : waiters_) {
+        if (queue.empty()) continue;
+        const SubscriberId first = queue.front();
+        queue.pop_front();
+        return first;
     }
     return {};
 }
 
-std::size_t FlowControl::waiting() const {
-    std::size_t out = 0;
-    for (const auto& line : waiting_) out += line.size();
-    return out;
+std::size_t FlowControl::waiterCount() const {
+    std::size_t count = 0;
+    for (const auto& queue : waiters_) count += queue.size();
+    return count;
 }
 
-Micros RetryAfterPlanner::after(Micros now) {
-    next_ = std::max(next_ + gap_, now);
-    return base_ + (next_ - now);
+Micros RetryAfterPlanner::nextRetryAfter(Micros now) {
+    nextSlot_ = std::max(nextSlot_ + interval_, now);
+    return baseDelay_ + (nextSlot_ - now);
 }
 
 } // namespace zincstack::pubsub
--- /dev/null
+++ b/src/pubsub/frame.h
@@ -0,0 +1,89 @@
+// Frames of the pub-sub channel: a fixed-size big-endian header followed by a body that may be compressed with zstd.
+// Both sides of the channel encode and decode through this file; message_body.h holds the bodies. docs/pubsub.md
+// specifies the format for implementers of other clients.
+//
+//   offset  bytes  field
+//   0       4      length of everything after this field
+//   4       1      frame type
+//   5       1      protocol version
+//   6       2      topic
+//   8       1      flags: 1 body is compressed, 2 another part of the same message follows
+//   9       1      reserved, 0
+//   10      2      part number, from 0
+//   12      4      size of the body before compression
+//   16      8      epoch
+//   24      8      sequence
+//   32      8      since
+//   40             body
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "pubsub/topic_log.h"
+
+namespace zincstack::pubsub {
+
+inline constexpr std::uint8_t kProtocolVersion = 1;
+inline constexpr std::size_t kHeaderBytes = 40;
+inline constexpr std::size_t kMaxClientFrameBytes = 4 * 1024;  ///< of a frame to the planner
+inline constexpr std::size_t kMaxServerFrameBytes = 64 * 1024; ///< of a frame from the planner
+inline constexpr std::size_t kMaxBodyBytes = 256 * 1024;       ///< of a body after decompression
+
+enum class FrameType : std::uint8_t {
+    // Client to planner.
+    Hello = 1,
+    Applied = 2, ///< no body: the topic is applied up to the sequence; with `more`: that part was received
+    Ask = 3,     ///< no body: requests a snapshot of the topic
+    Usage = 4,
+    // Either direction.
+    Beat = 5, ///< from the planner: the head of each topic that the subscriber follows
+    Bye = 6,
+    // Planner to client.
+    Welcome = 16,
+    Refused = 17,
+    Snapshot = 18, ///< the complete topic as of the sequence, in one or more parts
+    Changes = 19,  ///< the entries changed after `since`, with their values as of the sequence
+};
+
+/// Feature bits exchanged in Hello and Welcome; a feature is used only where both sides name it.
+inline constexpr std::uint32_t kFeatureCompression = 1; ///< the planner may compress bodies with zstd
+
+/// One decoded frame.
+struct Frame {
+    FrameType type{};
+    std::uint8_t version = kProtocolVersion;
+    TopicId topic{};
+    bool more = false; ///< another part follows; nothing is applied before the last part
+    std::uint16_t part = 0;
+    Epoch epoch{};
+    Sequence sequence{};
+    Sequence since{};
+    std::string body = {}; ///< CBOR, decompressed
+};
+
+/// The frame's bytes. The body is compressed where `mayCompress` is set and compression makes it smaller.
+std::string encodeFrame(const Frame& frame, bool mayCompress);
+
+/// Splits a byte stream, fed in pieces of any size, into frames. Buffers at most one incomplete frame.
+class FrameReader {
+public:
+    using FrameHandler = std::function<bool(Frame&)>;
+
+    explicit FrameReader(std::size_t maxFrameBytes) : maxFrameBytes_(maxFrameBytes) {}
+
+    /// Calls `handleFrame` for each complete frame until it returns false. Returns a description of the protocol
+    /// error, if any; the stream cannot be read any further after one.
+    std::optional<std::string> feed(std::string_view bytes, const FrameHandler& handleFrame);
+    std::size_t bufferedBytes() const { return buffer_.size(); }
+
+private:
+    std::size_t maxFrameBytes_;
+    std::string buffer_;
+};
+
+} // namespace zincstack::pubsub
--- a/src/pubsub/pubsub_service.cpp
+++ b/src/pubsub/pubsub_service.cpp
@@ -9,10 +9,10 @@
 
 namespace zincstack::pubsub {
 
-PubsubService::PubsubService(boost::asio::io_context& io, net::Counters& counters, net::BufferPool& pool,
-                             std::function<std::unique_ptr<SubscriptionServer>()> makeHub, Micros beat)
-    : io_(io), counters_(counters), pool_(pool), makeHub_(std::move(makeHub)),
-      gap_(beat / SubscriptionServer::kTicksPerHeartbeat), turns_(io) {}
+PubsubService::PubsubService(boost::asio::io_context& io, net::Counters& counters,
+                             net::BufferPool& bufferPool, MakeServer makeServer, Micros heartbeatInterval)
+    : io_(io), counters_(counters), bufferPool_(bufferPool), makeServer_(std::move(makeServer)),
+      tickInterval_(heartbeatInterval / SubscriptionServer::kTicksPerHeartbeat), tickTimer_(io) {}
 
 PubsubService::~PubsubService() {
     if (listener_) listener_->stop();
@@ -22,41 +22,49 @@
     return listener_ ? std::optional(listener_->address()) : std::nullopt;
 }
 
-void PubsubService::configure(const std::optional<Endpoint>& place) {
-    if (place && listener_ && place->listen == listen_) return;
-    std::shared_ptr<net::Listener> next;
-    if (place) {
-        const auto at = net::parseAddress(place->listen);
-        if (!at) throw InputError("the channel's address can't be read: '" + place->listen + "'");
-        next = std::make_shared<net::Listener>(
-            io_, *at, place->subscribers, kQueueBytesMost, counters_, pool_, pool_,
-            [this](net::Connection& connection) { return makeSubscriberSession(*hub_, connection); });
-    }
-    if (listener_) {
-        log::info("channel_off",
-                  {{"address", net::textOf(listener_->address())}, {"subscribers", hub_->subscribers()}});
-        hub_->suspend();
-        listener_->stop();
-        turns_.cancel();
-    }
+void PubsubService::configure(const std::optional<Endpoint>& endpoint) {
+    if (endpoint && listener_ && endpoint->listen == configuredAddress_) return;
+    auto next = endpoint ? makeListener(*endpoint) : nullptr;
+    if (listener_) stopListening();
     listener_ = std::move(next);
-    listen_ = place ? place->listen : std::string{};
-    if (!listener_) return;
-    if (!hub_) hub_ = makeHub_();
-    hub_->resume();
+    configuredAddress_ = endpoint ? endpoint->listen : std::string{};
+    if (listener_) startListening(endpoint->maxSubscribers);
+}
+
+std::shared_ptr<net::Listener> PubsubService::makeListener(const Endpoint& endpoint) {
+    const auto address = net::parseAddress(endpoint.listen);
+    if (!address) throw InputError("the channel's address can't be read: '" + endpoint.listen + "'");
+    const auto makeSession = [this](net::Connection& connection) {
+        return makeSubscriberSession(*server_, connection);
+    };
+    return std::make_shared<net::Listener>(io_, *address, endpoint.maxSubscribers, kMaxQueuedBytes, counters_,
+                                           bufferPool_, bufferPool_, makeSession);
+}
+
+void PubsubService::stopListening() {
+    log::info("channel_off",
+              {{"address", net::textOf(listener_->address())}, {"subscribers", server_->subscriberCount()}});
+    server_->suspend();
+    listener_->stop();
+    tickTimer_.cancel();
+}
+
+void PubsubService::startListening(std::size_t maxSubscribers) {
+    if (!server_) server_ = makeServer_();
+    server_->resume();
     listener_->start();
-    turn();
+    scheduleTick();
     log::info("channel_on", {{"address", net::textOf(listener_->address())},
-                             {"epoch", hub_->epoch().value},
-                             {"subscribers_most", place->subscribers}});
+                             {"epoch", server_->epoch().value},
+                             {"subscribers_most", maxSubscribers}});
 }
 
-void PubsubService::turn() {
-    turns_.expires_after(gap_);
-    turns_.async_wait([this](const boost::system::error_code& error) {
+void PubsubService::scheduleTick() {
+    tickTimer_.expires_after(tickInterval_);
+    tickTimer_.async_wait([this](const boost::system::error_code& error) {
         if (error || !listener_) return;
-        hub_->tick();
-        turn();
+        server_->tick();
+        scheduleTick();
     });
 }
 
--- a/src/pubsub/pubsub_service.h
+++ b/src/pubsub/pubsub_service.h
@@ -1,5 +1,5 @@
-// The channel as a whole: hub, listener and the timer of its turns, switched on, moved and switched off as the
-// operator's file says.
+// The pub-sub channel as a whole: server, listener and tick timer, switched on, moved and switched off as the
+// operator's configuration says.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,34 +18,41 @@
 
 class PubsubService {
 public:
-    /// What of it can change while the program runs.
+    using MakeServer = std::function<std::unique_ptr<SubscriptionServer>()>;
+
+    /// What can change while the program runs.
     struct Endpoint {
         std::string listen;
-        std::size_t subscribers;
+        std::size_t maxSubscribers;
     };
-    /// `makeHub` is called when the channel is first switched on. `pool` must outlive the loop.
-    PubsubService(boost::asio::io_context& io, net::Counters& counters, net::BufferPool& pool,
-                  std::function<std::unique_ptr<SubscriptionServer>()> makeHub, Micros beat);
+    /// `makeServer` is called when the channel is first switched on. `bufferPool` must outlive the event loop.
+    PubsubService(boost::asio::io_context& io, net::Counters& counters, net::BufferPool& bufferPool,
+                  MakeServer makeServer, Micros heartbeatInterval);
     ~PubsubService();
 
-    /// On at that place, moved there, or off where there is none. Throws where the place can't be listened on;
-    /// it is then as it was.
-    void configure(const std::optional<Endpoint>& place);
+    /// Switches the channel on at that endpoint, moves it there, or switches it off where there is none. Throws
+    /// InputError where the address is invalid, and boost::system::system_error where it cannot be listened on; the
+    /// channel is then as it was.
+    void configure(const std::optional<Endpoint>& endpoint);
     /// Where it listens; none while it is off.
     std::optional<boost::asio::ip::tcp::endpoint> address() const;
 
 private:
-    void turn();
+    std::shared_ptr<net::Listener> makeListener(const Endpoint& endpoint);
+    void stopListening();
+    void startListening(std::size_t maxSubscribers);
+    void scheduleTick();
 
     boost::asio::io_context& io_;
     net::Counters& counters_;
-    net::BufferPool& pool_;
-    const std::function<std::unique_ptr<SubscriptionServer>()> makeHub_;
-    const Micros gap_;
-    boost::asio::steady_timer turns_;
-    std::unique_ptr<SubscriptionServer> hub_; // once it is made it stays: streams that end late still know it
+    net::BufferPool& bufferPool_;
+    const MakeServer makeServer_;
+    const Micros tickInterval_;
+    boost::asio::steady_timer tickTimer_;
+    std::unique_ptr<SubscriptionServer>
+        server_; // kept once made: connections that end late still refer to it
     std::shared_ptr<net::Listener> listener_;
-    std::string listen_; // as it was asked for
+    std::string configuredAddress_; // as the configuration wrote it
 };
 
 } // namespace zincstack::pubsub
--- a/src/pubsub/replica.cpp
+++ b/src/pubsub/replica.cpp
@@ -1,136 +1,172 @@
 #include "pubsub/replica.h"
 
 #include <algorithm>
+#include <iterator>
 #include <utility>
 
 namespace zincstack::pubsub {
 
 namespace {
 
-constexpr std::size_t kTopicEntriesMost = 64 * 1024; // of a snapshot in all its parts
+constexpr std::size_t kMaxTopicEntries = 64 * 1024; // of a message in all its parts
 
 } // namespace
 
-void Replica::connected(Epoch epoch) {
+void Replica::sessionAccepted(Epoch epoch) {
     epoch_ = epoch;
-    gathering_.clear();
+    incomplete_.clear();
 }
 
-/// Guards against a snapshot that was cut before changes which have come already: it is older than what
-/// stands, and must not undo it. Changes since an older state hold the newest figure of each key, so more than
-/// what is missing does no harm; less does.
-Replica::Outcome Replica::take(const Frame& frame, Micros now) {
-    const bool whole = frame.type == FrameType::Snapshot;
-    if (frame.epoch != epoch_) return Outcome::Foreign;
-    const auto had = at(frame.topic);
-    if (!whole && (!had || frame.since > *had)) return gathering_.erase(frame.topic), Outcome::Gap;
-    if (had && frame.sequence <= *had) return gathering_.erase(frame.topic), Outcome::Known;
-    auto body = readTopic(frame.body);
-    if (!body) return Outcome::Unusable;
+bool Replica::IncompleteMessage::continuesWith(const Frame& frame) const {
+    return type == frame.type && sequence == frame.sequence && since == frame.since && nextPart == frame.part;
+}
+
+/// A snapshot that was encoded before changes which have been applied already is older than the replica, and must not
+/// undo them. Changes since an older position hold the newest value of each key, so more than what is missing does
+/// no harm; less does.
+std::optional<Replica::Outcome> Replica::checkPosition(const Frame& frame) const {
+    const auto position = at(frame.topic);
+    const bool isSnapshot = frame.type == FrameType::Snapshot;
+    if (!isSnapshot && (!position || frame.since > *position)) return Outcome::Gap;
+    if (position && frame.sequence <= *position) return Outcome::Duplicate;
+    return {};
+}
+
+Replica::Outcome Replica::apply(const Frame& frame, Micros now) {
+    if (frame.epoch != epoch_) return Outcome::OtherEpoch;
+    if (const auto outcome = checkPosition(frame)) {
+        incomplete_.erase(frame.topic);
+        return *outcome;
+    }
+    auto body = decodeTopicBody(frame.body);
+    if (!body) return Outcome::Invalid;
     if (frame.part == 0)
-        gathering_.insert_or_assign(frame.topic, Gathering{frame.type, frame.sequence, frame.since});
-    const auto found = gathering_.find(frame.topic);
-    if (found == gathering_.end()) return Outcome::Gap;
-    Gathering& all = found->second;
-    if (all.type != frame.type || all.sequence != frame.sequence || all.since != frame.since ||
-        all.next != frame.part)
-        return gathering_.erase(found), Outcome::Gap;
-    if (all.body.entries.size() + body->entries.size() > kTopicEntriesMost)
-        return gathering_.erase(found), Outcome::Unusable;
-    ++all.next;
-    if (frame.part == 0) all.body.products = std::move(body->products);
-    std::ranges::move(body->entries, std::back_inserter(all.body.entries));
-    if (frame.more) return Outcome::Part;
-    if (whole) replace(frame.topic, all.body, now);
-    for (const auto& entry : all.body.entries) apply(frame.topic, entry, now);
-    standing_[frame.topic] = {epoch_, frame.sequence};
-    gathering_.erase(found);
+        incomplete_.insert_or_assign(frame.topic, IncompleteMessage{frame.type, frame.sequence, frame.since});
+    const Outcome outcome = addPart(frame, *body);
+    if (outcome != Outcome::Applied) return outcome;
+    applyMessage(frame, incomplete_.at(frame.topic).body, now);
+    incomplete_.erase(frame.topic);
     return Outcome::Applied;
 }
 
-std::optional<Sequence> Replica::at(TopicId topic) const {
-    const auto found = standing_.find(topic);
-    if (found == standing_.end() || found->second.epoch != epoch_) return {};
-    return found->second.sequence;
+/// Applied: the message is complete, and can be applied.
+Replica::Outcome Replica::addPart(const Frame& frame, TopicBody& body) {
+    const auto found = incomplete_.find(frame.topic);
+    if (found == incomplete_.end()) return Outcome::Gap;
+    IncompleteMessage& message = found->second;
+    if (!message.continuesWith(frame)) {
+        incomplete_.erase(found);
+        return Outcome::Gap;
+    }
+    if (message.body.entries.size() + body.entries.size() > kMaxTopicEntries) {
+        incomplete_.erase(found);
+        return Outcome::Invalid;
+    }
+    ++message.nextPart;
+    if (frame.part == 0) message.body.requestClasses = std::move(body.requestClasses);
+    std::ranges::move(body.entries, std::back_inserter(message.body.entries));
+    return frame.more ? Outcome::PartReceived : Outcome::Applied;
 }
 
-void Replica::replace(TopicId topic, const TopicBody& body, Micros now) {
-    if (topic == kWithdrawnTopic) {
-        std::erase_if(out_, [&](const auto& one) {
-            return !foreign(one.second) || now - one.second.at >= foreignHold_;
-        });
-    } else {
-        RoutingTable& table = tables_[topic];
-        table = {body.products, {}, {}};
-        // Tables of an earlier planner go once their products are served by one that has come whole.
-        std::erase_if(tables_, [&](const auto& one) {
-            const auto& [other, old] = one;
-            if (other == topic || standing_[other].epoch == epoch_) return false;
-            const bool served = std::ranges::all_of(old.requestClasses, [&](const std::string& product) {
-                return std::ranges::find(body.products, product) != body.products.end();
-            });
-            if (served) standing_.erase(other);
-            return served;
+void Replica::applyMessage(const Frame& lastPart, const TopicBody& body, Micros now) {
+    if (lastPart.type == FrameType::Snapshot) beginSnapshot(lastPart.topic, body, now);
+    for (const Entry& entry : body.entries) applyEntry(lastPart.topic, entry, now);
+    positions_[lastPart.topic] = {epoch_, lastPart.sequence};
+}
+
+/// Clears what the snapshot replaces.
+void Replica::beginSnapshot(TopicId topic, const TopicBody& body, Micros now) {
+    if (topic == kExclusionsTopic) {
+        std::erase_if(exclusions_, [&](const auto& item) {
+            return !isForeign(item.second) || isExpired(item.second, now);
         });
+        return;
     }
+    tables_[topic] = {body.requestClasses, {}, {}};
+    dropReplacedTables(topic, body.requestClasses);
+}
+
+/// A table of an earlier planner goes once all its request classes are served by a complete table of this one.
+void Replica::dropReplacedTables(TopicId current, const std::vector<std::string>& requestClasses) {
+    const auto isServed = [&](const std::string& requestClass) {
+        return std::ranges::find(requestClasses, requestClass) != requestClasses.end();
+    };
+    std::erase_if(tables_, [&](const auto& item) {
+        const auto& [topic, table] = item;
+        if (topic == current || positions_[topic].epoch == epoch_) return false;
+        const bool isReplaced = std::ranges::all_of(table.requestClasses, isServed);
+        if (isReplaced) positions_.erase(topic);
+        return isReplaced;
+    });
 }
 
-void Replica::apply(TopicId topic, const Entry& entry, Micros now) {
+void Replica::applyEntry(TopicId topic, const Entry& entry, Micros now) {
     const auto& [key, value] = entry;
     switch (key.kind) {
-    case Key::Kind::Line:
-        if (value.figure > 0)
-            tables_[topic].weights[key.name] = value.figure;
+    case Key::Kind::Weight:
+        if (value.number > 0)
+            tables_[topic].weights[key.name] = value.number;
         else
             tables_[topic].weights.erase(key.name);
         return;
-    case Key::Kind::Level: tables_[topic].admission[key.name] = {value.figure, value.tries}; return;
-    case Key::Kind::Out:
-        if (value.figure > 0)
-            out_[key.name] = {epoch_, now};
+    case Key::Kind::Admission: tables_[topic].admission[key.name] = {value.number, value.retryPolicy}; return;
+    case Key::Kind::Exclusion:
+        if (value.number > 0)
+            exclusions_[key.name] = {epoch_, now};
         else
-            out_.erase(key.name);
+            exclusions_.erase(key.name);
+        return;
     }
 }
 
-std::vector<TopicId> Replica::behind(const Heads& heads, Micros now) {
-    std::vector<TopicId> out;
+std::vector<TopicId> Replica::topicsBehind(const TopicHeads& heads, Micros now) {
+    std::vector<TopicId> behind;
     for (const auto& [topic, head] : heads)
-        if (const auto had = at(topic); !had || *had < head) out.push_back(topic);
-    if (out.empty()) currentAt_ = now;
-    return out;
+        if (const auto position = at(topic); !position || *position < head) behind.push_back(topic);
+    if (behind.empty()) currentAt_ = now;
+    return behind;
 }
 
-std::vector<Have> Replica::have() const {
-    std::vector<Have> out;
-    for (const auto& [topic, standing] : standing_) out.push_back({topic, standing.epoch, standing.sequence});
+std::vector<TopicPosition> Replica::positions() const {
+    std::vector<TopicPosition> out;
+    for (const auto& [topic, position] : positions_)
+        out.push_back({topic, position.epoch, position.sequence});
     return out;
 }
 
-const RoutingTable* Replica::tableOf(std::string_view product) const {
-    const RoutingTable* out = nullptr;
+std::optional<Sequence> Replica::at(TopicId topic) const {
+    const auto found = positions_.find(topic);
+    if (found == positions_.end() || found->second.epoch != epoch_) return {};
+    return found->second.sequence;
+}
+
+const RoutingTable* Replica::tableOf(std::string_view requestClass) const {
+    const RoutingTable* newest = nullptr;
     for (const auto& [topic, table] : tables_) {
-        if (std::ranges::find(table.requestClasses, product) == table.requestClasses.end()) continue;
-        if (!out || standing_.at(topic).epoch == epoch_) out = &table;
+        const auto& served = table.requestClasses;
+        if (std::ranges::find(served, requestClass) == served.end()) continue;
+        if (!newest || positions_.at(topic).epoch == epoch_) newest = &table;
     }
-    return out;
+    return newest;
 }
 
-bool Replica::withdrawn(std::string_view server, Micros now) const {
-    const auto found = out_.find(server);
-    return found != out_.end() && (!foreign(found->second) || now - found->second.at < foreignHold_);
+bool Replica::isExcluded(std::string_view endpoint, Micros now) const {
+    const auto found = exclusions_.find(endpoint);
+    return found != exclusions_.end() && !isExpired(found->second, now);
 }
 
-std::vector<std::pair<std::string, double>> Replica::picks(const RoutingTable& table, Micros now) const {
-    std::vector<std::pair<std::string, double>> sure, left;
-    for (const auto& line : table.weights) {
-        const auto out = out_.find(line.first);
-        if (out == out_.end() || (foreign(out->second) && now - out->second.at >= foreignHold_))
-            sure.push_back(line);
-        else if (foreign(out->second))
-            left.push_back(line);
+std::vector<WeightedEndpoint> Replica::eligibleEndpoints(const RoutingTable& table, Micros now) const {
+    std::vector<WeightedEndpoint> eligible;
+    std::vector<WeightedEndpoint> excludedByEarlierPlanner;
+    for (const auto& [endpoint, weight] : table.weights) {
+        const auto found = exclusions_.find(endpoint);
+        if (found == exclusions_.end() || isExpired(found->second, now))
+            eligible.push_back({endpoint, weight});
+        else if (isForeign(found->second))
+            excludedByEarlierPlanner.push_back({endpoint, weight});
     }
-    return sure.empty() ? left : sure; // nobody is left without a server by what is hearsay
+    // An exclusion that this planner does not confirm must not leave a client without any endpoint.
+    return eligible.empty() ? excludedByEarlierPlanner : eligible;
 }
 
 } // namespace zincstack::pubsub
--- a/src/pubsub/replica.h
+++ b/src/pubsub/replica.h
@@ -1,16 +1,16 @@
-// A front end's copy of its tables, built from the channel's frames. No I/O; the clock is handed in.
+// A client's replica of its routing tables, built from the channel's frames. No I/O; the clock is handed in.
 //
-// It applies only what follows on what it has, drops what it has already, knows where something is missing, and
-// never goes back within an epoch. While it changes from one planner to another it keeps the old tables until
-// the new ones have come whole.
+// It applies only what follows on its own position, ignores what it has already, detects gaps, and never goes back
+// within an epoch. After a change to another planner it keeps the old tables until the new ones are complete.
 #pragma once
 
 #include <map>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
-#include "pubsub/wire.h"
+#include "pubsub/message_body.h"
 
 namespace zincstack::pubsub {
 
@@ -19,74 +19,94 @@
     RetryPolicy retryPolicy = RetryPolicy::Never;
     friend bool operator==(const AdmissionLimit&, const AdmissionLimit&) = default;
 };
+
 struct RoutingTable {
     std::vector<std::string> requestClasses;
-    std::map<std::string, double> weights;           ///< weights by server
-    std::map<std::string, AdmissionLimit> admission; ///< by product
+    std::map<std::string, double> weights;           ///< by endpoint
+    std::map<std::string, AdmissionLimit> admission; ///< by request class
+};
+
+struct WeightedEndpoint {
+    std::string endpoint;
+    double weight = 0;
 };
 
 class Replica {
 public:
+    /// What a frame did to the replica.
     enum class Outcome : std::uint8_t {
         Applied,
-        Part,    ///< of a message that is not whole yet
-        Known,   ///< it has that already
-        Gap,     ///< something before it is missing: a snapshot is wanted
-        Foreign, ///< of another epoch than the stream's
-        Unusable,
+        PartReceived, ///< of a message that is not complete yet
+        Duplicate,    ///< the replica has that already
+        Gap,          ///< something before it is missing: a snapshot is needed
+        OtherEpoch,   ///< of another epoch than the session's
+        Invalid,      ///< the body cannot be decoded, or is too large
     };
 
-    /// `foreignHold`: for how long a withdrawal outlives the planner that told it, unless the new one tells of
-    /// that server itself. Guards against a new planner that has not heard of a drain yet.
-    explicit Replica(Micros foreignHold) : foreignHold_(foreignHold) {}
+    /// `foreignExclusionHold`: for how long an exclusion outlives the planner that announced it, unless the new
+    /// planner announces something else of that endpoint. It covers a new planner that has not heard of a drain yet.
+    explicit Replica(Micros foreignExclusionHold) : foreignExclusionHold_(foreignExclusionHold) {}
 
-    /// A new stream is up, of a planner life of that epoch. Parts of a message that was not whole are gone.
-    void connected(Epoch epoch);
-    /// A Snapshot or Changes frame.
-    Outcome take(const Frame& frame, Micros now);
-    /// The planner says how far its topics are: the topics of this epoch where less has come.
-    std::vector<TopicId> behind(const Heads& heads, Micros now);
+    /// A new session was accepted, of a planner incarnation with that epoch. Incomplete messages are discarded.
+    void sessionAccepted(Epoch epoch);
+    /// Applies a Snapshot or Changes frame.
+    Outcome apply(const Frame& frame, Micros now);
+    /// Compares the planner's heads with the replica; returns the topics of which something is missing.
+    std::vector<TopicId> topicsBehind(const TopicHeads& heads, Micros now);
 
-    /// What it has, for the greeting of the next stream.
-    std::vector<Have> have() const;
+    /// The positions to resume from, for the greeting of the next session.
+    std::vector<TopicPosition> positions() const;
+    /// The position in a topic of the session's epoch; none where nothing of it is complete.
     std::optional<Sequence> at(TopicId topic) const;
     Epoch epoch() const { return epoch_; }
-    /// When it last knew that it had all there was; none: never.
+    /// When the replica last knew that it was up to date; none: never.
     std::optional<Micros> currentAt() const { return currentAt_; }
 
     const std::map<TopicId, RoutingTable>& tables() const { return tables_; }
-    /// The table of a product; null where there is none.
-    const RoutingTable* tableOf(std::string_view product) const;
-    bool withdrawn(std::string_view server, Micros now) const;
-    /// The lines that may be picked now: those of servers that are not withdrawn. What only an earlier planner
-    /// withdrew counts as long as another line is left.
-    std::vector<std::pair<std::string, double>> picks(const RoutingTable& table, Micros now) const;
+    /// The table of a request class; null where there is none.
+    const RoutingTable* tableOf(std::string_view requestClass) const;
+    bool isExcluded(std::string_view endpoint, Micros now) const;
+    /// The table's endpoints that requests may be sent to now: those that are not excluded. An exclusion announced
+    /// by an earlier planner alone counts as long as another endpoint is left.
+    std::vector<WeightedEndpoint> eligibleEndpoints(const RoutingTable& table, Micros now) const;
 
 private:
-    struct Standing {
+    struct Position {
         Epoch epoch;
         Sequence sequence;
     };
-    struct Gathering { // parts of a message
+    /// A message of which some parts have been received.
+    struct IncompleteMessage {
         FrameType type;
-        Sequence sequence, since;
-        std::uint16_t next = 0;
+        Sequence sequence;
+        Sequence since;
+        std::uint16_t nextPart = 0;
         TopicBody body = {};
+
+        bool continuesWith(const Frame& frame) const;
     };
-    struct Out {
-        Epoch epoch; // that told it last
-        Micros at;
+    struct Exclusion {
+        Epoch epoch; // of the planner that announced it last
+        Micros announcedAt;
     };
-    void replace(TopicId topic, const TopicBody& body, Micros now);
-    void apply(TopicId topic, const Entry& entry, Micros now);
-    bool foreign(const Out& out) const { return out.epoch != epoch_; }
+    /// What the frame is by its position alone: Duplicate, Gap, or none where it is to be applied.
+    std::optional<Outcome> checkPosition(const Frame& frame) const;
+    Outcome addPart(const Frame& frame, TopicBody& body);
+    void applyMessage(const Frame& lastPart, const TopicBody& body, Micros now);
+    void beginSnapshot(TopicId topic, const TopicBody& body, Micros now);
+    void dropReplacedTables(TopicId current, const std::vector<std::string>& requestClasses);
+    void applyEntry(TopicId topic, const Entry& entry, Micros now);
+    bool isForeign(const Exclusion& exclusion) const { return exclusion.epoch != epoch_; }
+    bool isExpired(const Exclusion& exclusion, Micros now) const {
+        return isForeign(exclusion) && now - exclusion.announcedAt >= foreignExclusionHold_;
+    }
 
-    const Micros foreignHold_;
+    const Micros foreignExclusionHold_;
     Epoch epoch_;
-    std::map<TopicId, Standing> standing_;
-    std::map<TopicId, Gathering> gathering_;
+    std::map<TopicId, Position> positions_;
+    std::map<TopicId, IncompleteMessage> incomplete_;
     std::map<TopicId, RoutingTable> tables_;
-    std::map<std::string, Out, std::less<>> out_;
+    std::map<std::string, Exclusion, std::less<>> exclusions_;
     std::optional<Micros> currentAt_;
 };
 
--- a/src/pubsub/subscriber.cpp
+++ b/src/pubsub/subscriber.cpp
@@ -7,112 +7,139 @@
 
 namespace {
 
-constexpr std::size_t kMarksMost = 1024; // without an answer
+constexpr std::size_t kMaxPendingBarriers = 1024; // of one subscriber; older ones are dropped
 
-struct Row {
-    State state;
-    Input input;
-    State next;
-    Effect effect;
+struct Transition {
+    SessionState state;
+    SessionInput input;
+    SessionState next;
+    SessionEffect effect;
 };
-constexpr Row kRows[] = {
-    {State::Leaving, Input::Any, State::Leaving, Effect::Nothing},
-    {State::Greeting, Input::Joined, State::CatchingUp, Effect::Welcome},
-    {State::Greeting, Input::Refused, State::Leaving, Effect::Refuse},
-    {State::Greeting, Input::Garbled, State::Leaving, Effect::Refuse},
-    {State::Greeting, Input::Off, State::Leaving, Effect::Refuse},
-    {State::CatchingUp, Input::CaughtUp, State::Live, Effect::Nothing},
-    {State::Live, Input::Shut, State::Lagging, Effect::CountLag},
-    {State::Live, Input::Lost, State::Resync, Effect::CountResync},
-    {State::Lagging, Input::CaughtUp, State::Live, Effect::Nothing},
-    {State::Lagging, Input::Lost, State::Resync, Effect::CountResync},
-    {State::Resync, Input::CaughtUp, State::Live, Effect::Nothing},
-    {State::Any, Input::Stalled, State::Leaving, Effect::SayBye},
-    {State::Any, Input::Silent, State::Leaving, Effect::SayBye},
-    {State::Any, Input::Replaced, State::Leaving, Effect::SayBye},
-    {State::Any, Input::Off, State::Leaving, Effect::SayBye},
-    {State::Any, Input::Garbled, State::Leaving, Effect::SayBye},
-    {State::Any, Input::Parted, State::Leaving, Effect::Close},
+
+using enum SessionState;
+using Input = SessionInput;
+using Effect = SessionEffect;
+
+// The first row that matches applies; an input without a row changes nothing.
+constexpr Transition kTransitions[] = {
+    {Leaving, Input::Any, Leaving, Effect::Nothing},
+    {Greeting, Input::GreetingAccepted, CatchingUp, Effect::SendWelcome},
+    {Greeting, Input::GreetingRejected, Leaving, Effect::SendRefusal},
+    {Greeting, Input::ProtocolError, Leaving, Effect::SendRefusal},
+    {Greeting, Input::ServiceSuspended, Leaving, Effect::SendRefusal},
+    {CatchingUp, Input::CaughtUp, Live, Effect::Nothing},
+    {Live, Input::WindowFull, Lagging, Effect::CountLag},
+    {Live, Input::LogTruncated, Resync, Effect::CountResync},
+    {Lagging, Input::CaughtUp, Live, Effect::Nothing},
+    {Lagging, Input::LogTruncated, Resync, Effect::CountResync},
+    {Resync, Input::CaughtUp, Live, Effect::Nothing},
+    {Any, Input::AckTimeout, Leaving, Effect::SendGoodbye},
+    {Any, Input::LeaseExpired, Leaving, Effect::SendGoodbye},
+    {Any, Input::SessionReplaced, Leaving, Effect::SendGoodbye},
+    {Any, Input::ServiceSuspended, Leaving, Effect::SendGoodbye},
+    {Any, Input::ProtocolError, Leaving, Effect::SendGoodbye},
+    {Any, Input::Disconnected, Leaving, Effect::Close},
 };
 
 } // namespace
 
-std::string_view nameOf(State state) {
+std::string_view nameOf(SessionState state) {
     static constexpr std::string_view kNames[] = {"greeting", "catching_up", "live",
                                                   "lagging",  "resync",      "leaving"};
     return kNames[static_cast<std::size_t>(state)];
 }
 
-Effect Subscriber::step(Input input) {
-    const auto* const row = std::ranges::find_if(kRows, [&](const Row& one) {
-        return (one.input == input || one.input == Input::Any) &&
-               (one.state == state_ || one.state == State::Any);
+void TopicProgress::discardMessageInProgress() {
+    messageInProgress.reset();
+    nextPart = 0;
+}
+
+SessionEffect Subscriber::transition(SessionInput input) {
+    const auto* const row = std::ranges::find_if(kTransitions, [&](const Transition& candidate) {
+        const bool inputMatches = candidate.input == input || candidate.input == Input::Any;
+        return inputMatches && (candidate.state == state_ || candidate.state == Any);
     });
-    if (row == std::end(kRows)) return Effect::Nothing;
+    if (row == std::end(kTransitions)) return Effect::Nothing;
     state_ = row->next;
     return row->effect;
 }
 
-void Subscriber::sent(const Message& message, std::size_t part, FlowControl& pacing, Micros now) {
-    const auto& [frame, lines] = message.parts[part];
-    if (owed_.empty()) movedAt = now;
-    owed_.push_back({message.topic, message.to, static_cast<std::uint16_t>(part), lines, frame->size()});
-    pacing.sent(window, lines, frame->size());
+void Subscriber::onPartSent(const EncodedMessage& message, std::size_t part, FlowControl& flowControl,
+                            Micros now) {
+    const MessageSize size = message.parts[part].size();
+    if (unacknowledged_.empty()) lastProgressAt = now;
+    unacknowledged_.push_back({message.topic, message.head, static_cast<std::uint16_t>(part), size});
+    flowControl.onSent(window, size);
 }
 
-/// An answer to a message stands for all that was sent of its topic before it; of other topics it says
-/// nothing, since withdrawals overtake.
-bool Subscriber::acked(TopicId topic, Sequence sequence, std::optional<std::uint16_t> part,
-                       FlowControl& pacing, Micros now) {
-    const auto holding = holdings.find(topic);
-    if (holding == holdings.end()) return false;
-    const auto& sending = holding->second.sending;
-    if (sequence > (sending && part ? sending->to : holding->second.sent)) return false;
-    const bool whole = !part;
-    const auto covered = [&](const Owed& one) {
-        return one.topic == topic &&
-               (one.to < sequence || (one.to == sequence && (whole || one.part <= *part)));
-    };
-    bool any = false;
-    std::erase_if(owed_, [&](const Owed& one) {
-        if (!covered(one)) return false;
-        pacing.answered(window, one.lines, one.bytes);
-        return any = true;
+template <class Covered>
+void Subscriber::removeUnacknowledged(const Covered& isCovered, FlowControl& flowControl, Micros now) {
+    const std::size_t removed = std::erase_if(unacknowledged_, [&](const UnacknowledgedPart& sent) {
+        if (!isCovered(sent)) return false;
+        flowControl.onAcknowledged(window, sent.size);
+        return true;
     });
-    if (whole) holding->second.acked = std::max(holding->second.acked, sequence);
-    if (any) movedAt = now;
+    if (removed > 0) lastProgressAt = now;
+}
+
+bool Subscriber::acknowledge(TopicId topic, Sequence sequence, FlowControl& flowControl, Micros now) {
+    const auto found = topics.find(topic);
+    if (found == topics.end()) return false;
+    TopicProgress& progress = found->second;
+    if (sequence > progress.sent) return false;
+    const auto isCovered = [&](const UnacknowledgedPart& sent) {
+        return sent.topic == topic && sent.head <= sequence;
+    };
+    removeUnacknowledged(isCovered, flowControl, now);
+    progress.acknowledged = std::max(progress.acknowledged, sequence);
     return true;
 }
 
-void Subscriber::abandon(FlowControl& pacing) {
-    for (const Owed& one : owed_) pacing.answered(window, one.lines, one.bytes);
-    owed_.clear();
+bool Subscriber::acknowledgePart(TopicId topic, Sequence sequence, std::uint16_t part,
+                                 FlowControl& flowControl, Micros now) {
+    const auto found = topics.find(topic);
+    if (found == topics.end()) return false;
+    const TopicProgress& progress = found->second;
+    const Sequence newest = progress.messageInProgress ? progress.messageInProgress->head : progress.sent;
+    if (sequence > newest) return false;
+    const auto isCovered = [&](const UnacknowledgedPart& sent) {
+        if (sent.topic != topic) return false;
+        return sent.head < sequence || (sent.head == sequence && sent.part <= part);
+    };
+    removeUnacknowledged(isCovered, flowControl, now);
+    return true;
+}
+
+void Subscriber::releaseCredit(FlowControl& flowControl) {
+    for (const UnacknowledgedPart& sent : unacknowledged_) flowControl.onAcknowledged(window, sent.size);
+    unacknowledged_.clear();
 }
 
-void Subscriber::marked(BarrierId number, const std::map<TopicId, Sequence>& heads) {
-    Mark mark{number, {}};
-    for (auto& [topic, holding] : holdings) {
-        holding.marked = heads.at(topic);
-        mark.upTo.emplace(topic, holding.marked);
+void Subscriber::addBarrier(BarrierId barrier, const std::map<TopicId, Sequence>& heads) {
+    PendingBarrier pending{barrier, {}};
+    for (auto& [topic, progress] : topics) {
+        progress.barrier = heads.at(topic);
+        pending.heads.emplace(topic, progress.barrier);
     }
-    marks_.push_back(std::move(mark));
-    if (marks_.size() > kMarksMost) marks_.pop_front();
+    barriers_.push_back(std::move(pending));
+    if (barriers_.size() > kMaxPendingBarriers) barriers_.pop_front();
 }
 
-std::optional<BarrierId> Subscriber::settled() {
-    std::optional<BarrierId> out;
-    const auto done = [&](const Mark& mark) {
-        return std::ranges::all_of(mark.upTo, [&](const auto& one) {
-            const auto holding = holdings.find(one.first);
-            return holding == holdings.end() ||
-                   (holding->second.greeted && holding->second.acked >= one.second);
-        });
-    };
-    while (!marks_.empty() && done(marks_.front())) {
-        out = marks_.front().number;
-        marks_.pop_front();
+bool Subscriber::isAcknowledged(const PendingBarrier& pending) const {
+    return std::ranges::all_of(pending.heads, [&](const auto& required) {
+        const auto found = topics.find(required.first);
+        if (found == topics.end()) return true;
+        return found->second.wasSent && found->second.acknowledged >= required.second;
+    });
+}
+
+std::optional<BarrierId> Subscriber::takeAcknowledgedBarrier() {
+    std::optional<BarrierId> newest;
+    while (!barriers_.empty() && isAcknowledged(barriers_.front())) {
+        newest = barriers_.front().barrier;
+        barriers_.pop_front();
     }
-    return out;
+    return newest;
 }
 
 } // namespace zincstack::pubsub
--- a/src/pubsub/subscriber.h
+++ b/src/pubsub/subscriber.h
@@ -1,5 +1,5 @@
-// One subscriber as the planner sees it: the state of its stream, how far it is in each topic, and which marks
-// it still owes. State and decisions only; the hub does what follows.
+// One subscriber as the planner sees it: the state of its session, its position in each topic, what it has not
+// acknowledged, and which barriers wait for that. State and decisions only; SubscriptionServer carries out effects.
 #pragma once
 
 #include <cstdint>
@@ -12,109 +12,144 @@
 #include <vector>
 
 #include "pubsub/flow_control.h"
+#include "pubsub/message_body.h"
 #include "pubsub/topic_log.h"
-#include "pubsub/wire.h"
 
 namespace zincstack::pubsub {
 
 using SharedFrame = std::shared_ptr<const std::string>;
 
-/// Where a subscriber's frames go: its stream, as far as the hub knows it.
+/// Where a subscriber's frames go: its connection, as far as the server knows it.
 class FrameTarget {
 public:
     virtual ~FrameTarget() = default;
-    /// Takes a whole frame; false if too much waits already.
+    /// Queues a complete frame; false if too much is queued already.
     virtual bool push(const SharedFrame& frame) = 0;
-    /// Nothing more is said or heard here, but for these last words if the reader takes them at once.
-    virtual void leave(std::string lastWords) = 0;
+    /// Ends the session. `farewell` is sent if the reader takes it at once.
+    virtual void close(std::string farewell) = 0;
 };
 
-enum class State : std::uint8_t { Greeting, CatchingUp, Live, Lagging, Resync, Leaving, Any };
-enum class Input : std::uint8_t {
-    Joined,   ///< its greeting was good
-    Refused,  ///< it was not
-    CaughtUp, ///< all that its topics hold has been sent
-    Shut,     ///< something waits and its window is full
-    Lost,     ///< its log has forgotten, or it asked: a snapshot is due
-    Stalled,  ///< it has answered nothing for too long
-    Silent,   ///< it has said nothing for too long
-    Replaced, ///< its proxy has a newer stream
-    Off,      ///< the channel is switched off
-    Garbled,  ///< what it says can't be read
-    Parted,   ///< it says goodbye, or its stream has ended
-    Any,
+enum class SessionState : std::uint8_t {
+    Greeting,   ///< no valid Hello yet
+    CatchingUp, ///< its first tables are being sent
+    Live,       ///< everything has been sent
+    Lagging,    ///< changes wait for its window
+    Resync,     ///< changes no longer cover its position: a snapshot is being sent
+    Leaving,    ///< ended; the connection still exists
+    Any,        ///< in the transition table alone
 };
-enum class Effect : std::uint8_t { Nothing, Welcome, Refuse, CountLag, CountResync, SayBye, Close };
-std::string_view nameOf(State state);
 
-/// A topic's message, encoded once for all who get it.
-struct Message {
+enum class SessionInput : std::uint8_t {
+    GreetingAccepted,
+    GreetingRejected,
+    CaughtUp,         ///< everything that its topics hold has been sent
+    WindowFull,       ///< something is due and its window is full
+    LogTruncated,     ///< the log no longer covers its position, or it asked for a snapshot
+    AckTimeout,       ///< it has acknowledged nothing for too long
+    LeaseExpired,     ///< it has sent nothing for too long
+    SessionReplaced,  ///< its proxy has a newer session
+    ServiceSuspended, ///< the channel is switched off
+    ProtocolError,    ///< it sent something that is not valid
+    Disconnected,     ///< it said goodbye, or its connection has ended
+    Any,              ///< in the transition table alone
+};
+
+enum class SessionEffect : std::uint8_t {
+    Nothing,
+    SendWelcome,
+    SendRefusal,
+    CountLag,
+    CountResync,
+    SendGoodbye,
+    Close,
+};
+
+std::string_view nameOf(SessionState state);
+
+/// A message of a topic, encoded once for all subscribers that get it.
+struct EncodedMessage {
     struct Part {
         SharedFrame frame;
         std::size_t lines = 0;
+
+        MessageSize size() const { return {lines, frame->size()}; }
     };
     TopicId topic;
-    Sequence to;
-    Urgency urgency = Urgency::Change;
+    Sequence head; ///< the topic's state after the message
+    MessagePriority priority = MessagePriority::Change;
     std::vector<Part> parts;
 };
+using SharedMessage = std::shared_ptr<const EncodedMessage>;
+
+/// A subscriber's progress in a topic that it follows.
+struct TopicProgress {
+    Sequence sent{};
+    Sequence acknowledged{};
+    Sequence barrier{};                   ///< the topic's head at the newest barrier
+    bool needsSnapshot = false;           ///< a snapshot is due
+    bool wasSent = false;                 ///< some message of the topic was sent completely in this session
+    SharedMessage messageInProgress = {}; ///< partly sent
+    std::size_t nextPart = 0;             ///< of `messageInProgress`
+
+    void discardMessageInProgress();
+};
 
 class Subscriber {
 public:
-    Subscriber(SubscriberId itsId, FrameTarget& itsTarget, Micros now)
-        : id(itsId), target(&itsTarget), heardAt(now), movedAt(now) {}
-
-    /// What follows from an input, by the table of states. Nothing: it does not matter in this state.
-    Effect step(Input input);
-    State state() const { return state_; }
-
-    /// How far it is in a topic that it holds.
-    struct Holding {
-        Sequence sent{}, acked{}, marked{};
-        bool snapshot = false; ///< one is due
-        bool greeted = false;  ///< something of the topic has been sent on this stream
-        std::shared_ptr<const Message> sending = {};
-        std::size_t next = 0; ///< part of `sending`
-    };
+    Subscriber(SubscriberId sessionId, FrameTarget& frameTarget, Micros now)
+        : id(sessionId), target(&frameTarget), lastReceivedAt(now), lastProgressAt(now) {}
+
+    /// Applies an input to the state; returns what has to be done. Nothing: the input does not matter in this state.
+    SessionEffect transition(SessionInput input);
+    SessionState state() const { return state_; }
+    /// Whether the session has been accepted and has not ended.
+    bool isEstablished() const { return state_ != SessionState::Greeting && state_ != SessionState::Leaving; }
 
-    void sent(const Message& message, std::size_t part, FlowControl& pacing, Micros now);
-    /// An answer: all up to the sequence is in use, or (`part`) that part of a message has come. False where
-    /// nothing like it was sent.
-    bool acked(TopicId topic, Sequence sequence, std::optional<std::uint16_t> part, FlowControl& pacing,
-               Micros now);
-    /// The planner closes what it has ordered so far with a mark.
-    void marked(BarrierId number, const std::map<TopicId, Sequence>& heads);
-    /// The newest mark for which all has been answered, once.
-    std::optional<BarrierId> settled();
-    /// What it owes an answer to is not waited for any more.
-    void abandon(FlowControl& pacing);
-    bool owes() const { return !owed_.empty(); }
+    void onPartSent(const EncodedMessage& message, std::size_t part, FlowControl& flowControl, Micros now);
+    /// Everything of the topic up to the sequence is applied. An acknowledgment covers what was sent of its topic
+    /// before it; it says nothing of other topics, since exclusions overtake. False where no such message was sent.
+    bool acknowledge(TopicId topic, Sequence sequence, FlowControl& flowControl, Micros now);
+    /// A part of the message with that sequence was received. False where no such message was sent.
+    bool acknowledgePart(TopicId topic, Sequence sequence, std::uint16_t part, FlowControl& flowControl,
+                         Micros now);
+    /// Records a barrier behind what is in the topics now. `heads`: of every topic that exists.
+    void addBarrier(BarrierId barrier, const std::map<TopicId, Sequence>& heads);
+    /// The newest barrier of which everything is acknowledged; returned once.
+    std::optional<BarrierId> takeAcknowledgedBarrier();
+    /// Gives back the flow-control credit of everything unacknowledged.
+    void releaseCredit(FlowControl& flowControl);
+    bool hasUnacknowledged() const { return !unacknowledged_.empty(); }
 
     const SubscriberId id;
     FrameTarget* const target;
     std::optional<ProxyId> proxy;
     ZoneId zone;
-    bool compresses = false;
-    std::map<TopicId, Holding> holdings; ///< withdrawals first
+    bool acceptsCompression = false;
+    std::map<TopicId, TopicProgress> topics; ///< exclusions first
     Window window;
-    Micros heardAt{}, movedAt{}; ///< when it last said something; when it last answered, or owed nothing
-    bool waits = false;          ///< for room in all
-    std::vector<Have> have;      ///< what it said it has, until it is bound to it
+    Micros lastReceivedAt{};
+    Micros lastProgressAt{};           ///< when it last acknowledged something, or had nothing to acknowledge
+    bool isWaitingForCapacity = false; ///< queued in FlowControl
+    std::vector<TopicPosition> resumePositions; ///< from its Hello
 
 private:
-    struct Owed {
+    struct UnacknowledgedPart {
         TopicId topic;
-        Sequence to;
+        Sequence head;
         std::uint16_t part;
-        std::size_t lines, bytes;
+        MessageSize size;
     };
-    struct Mark {
-        BarrierId number;
-        std::map<TopicId, Sequence> upTo;
+    struct PendingBarrier {
+        BarrierId barrier;
+        std::map<TopicId, Sequence> heads;
     };
-    State state_ = State::Greeting;
-    std::deque<Owed> owed_;
-    std::deque<Mark> marks_;
+    template <class Covered>
+    void removeUnacknowledged(const Covered& isCovered, FlowControl& flowControl, Micros now);
+    bool isAcknowledged(const PendingBarrier& pending) const;
+
+    SessionState state_ = SessionState::Greeting;
+    std::deque<UnacknowledgedPart> unacknowledged_;
+    std::deque<PendingBarrier> barriers_;
 };
 
 } // namespace zincstack::pubsub
--- a/src/pubsub/subscriber_session.cpp
+++ b/src/pubsub/subscriber_session.cpp
@@ -6,48 +6,51 @@
 
 namespace {
 
-class Visitor final : public net::PeerProtocol, FrameTarget {
+class SubscriberSession final : public net::PeerProtocol, FrameTarget {
 public:
-    Visitor(SubscriptionServer& hub, net::Connection& connection)
-        : hub_(hub), connection_(connection), subscriber_(&hub.sessionOpened(*this)) {}
+    SubscriberSession(SubscriptionServer& server, net::Connection& connection)
+        : server_(server), connection_(connection), subscriber_(&server.sessionOpened(*this)) {}
 
     bool feed(std::string_view bytes) override {
         if (!subscriber_) return false;
         const auto fault =
-            reader_.feed(bytes, [&](Frame& frame) { return hub_.handleFrame(*subscriber_, frame); });
-        if (fault) hub_.protocolError(*subscriber_, *fault);
-        return subscriber_->state() != State::Leaving;
+            reader_.feed(bytes, [&](Frame& frame) { return server_.handleFrame(*subscriber_, frame); });
+        if (fault) server_.protocolError(*subscriber_, *fault);
+        return subscriber_->state() != SessionState::Leaving;
     }
     bool joinDeadlineExpired() override {
-        if (!subscriber_ || !isUnidentified()) return subscriber_ != nullptr;
-        hub_.protocolError(*subscriber_, "no greeting within its time");
+        if (!subscriber_) return false;
+        if (!isUnidentified()) return true;
+        server_.protocolError(*subscriber_, "no greeting within its time");
         return false;
     }
-    bool isUnidentified() const override { return subscriber_ && subscriber_->state() == State::Greeting; }
+    bool isUnidentified() const override {
+        return subscriber_ && subscriber_->state() == SessionState::Greeting;
+    }
     void connectionClosed() override {
-        if (subscriber_) hub_.sessionClosed(*std::exchange(subscriber_, nullptr));
+        if (subscriber_) server_.sessionClosed(*std::exchange(subscriber_, nullptr));
     }
-    std::string_view farewell() const override { return lastWords_; }
+    std::string_view farewell() const override { return farewell_; }
 
 private:
     bool push(const SharedFrame& frame) override { return connection_.push(frame); }
-    void leave(std::string lastWords) override {
-        lastWords_ = std::move(lastWords);
+    void close(std::string farewell) override {
+        farewell_ = std::move(farewell);
         connection_.end("the channel let it go");
     }
 
-    SubscriptionServer& hub_;
+    SubscriptionServer& server_;
     net::Connection& connection_;
-    FrameReader reader_{kClientFrameMost};
-    Subscriber* subscriber_; // null once it has ended: a write that is still pending keeps the connection
-    std::string lastWords_;
+    FrameReader reader_{kMaxClientFrameBytes};
+    Subscriber* subscriber_; // null once it has ended: a pending write keeps the connection alive for longer
+    std::string farewell_;
 };
 
 } // namespace
 
-std::unique_ptr<net::PeerProtocol> makeSubscriberSession(SubscriptionServer& hub,
+std::unique_ptr<net::PeerProtocol> makeSubscriberSession(SubscriptionServer& server,
                                                          net::Connection& connection) {
-    return std::make_unique<Visitor>(hub, connection);
+    return std::make_unique<SubscriberSession>(server, connection);
 }
 
 } // namespace zincstack::pubsub
--- a/src/pubsub/subscriber_session.h
+++ b/src/pubsub/subscriber_session.h
@@ -1,4 +1,4 @@
-// Whoever comes to the channel's address: each connection becomes a subscriber of the hub. A thin driver.
+// Connects a network connection with a subscriber of the server. A thin adapter without decisions of its own.
 #pragma once
 
 #include <memory>
@@ -8,10 +8,11 @@
 
 namespace zincstack::pubsub {
 
-/// Bytes that wait for one slow reader; the hub's windows are smaller.
-inline constexpr std::size_t kQueueBytesMost = 256 * 1024;
+/// Bytes queued for one slow reader; the server's flow-control windows are smaller.
+inline constexpr std::size_t kMaxQueuedBytes = 256 * 1024;
 
-std::unique_ptr<net::PeerProtocol> makeSubscriberSession(SubscriptionServer& hub,
+/// The session of a connection that was accepted on the channel's address. Both arguments must outlive it.
+std::unique_ptr<net::PeerProtocol> makeSubscriberSession(SubscriptionServer& server,
                                                          net::Connection& connection);
 
 } // namespace zincstack::pubsub
--- a/src/pubsub/subscription_server.h
+++ b/src/pubsub/subscription_server.h
@@ -1,137 +1,136 @@
-// The channel's front: topics made from the planner's orders, subscribers brought up to them, and what they say
-// passed on to the planner. Knows no socket; the clock is handed in.
+// The planner's side of the pub-sub channel: accepts sessions, handles their frames, turns the planner's orders into
+// topics and sends them, and supervises leases. Knows no socket; the clock is handed in.
 //
-// Order of things for one subscriber: withdrawals go before anything else, between the parts of a longer message
-// too; then the topics it holds, each by what changed since it was sent last, or by a snapshot where its log has
-// forgotten so old a state or most of it has changed.
+// Owns the subscribers, the topics (TopicStore) and the channel's flow control; MessageSender decides what is sent.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <map>
-#include <memory>
+#include <optional>
 #include <set>
 #include <string>
+#include <string_view>
 
 #include "metrics/counters.h"
 #include "pubsub/flow_control.h"
+#include "pubsub/lease_config.h"
+#include "pubsub/message_cache.h"
+#include "pubsub/message_sender.h"
 #include "pubsub/subscriber.h"
-#include "pubsub/topic_log.h"
-#include "pubsub/wire.h"
+#include "pubsub/topic_store.h"
 #include "routing/name_registry.h"
 #include "routing/routing_state.h"
 
 namespace zincstack::pubsub {
 
-struct LeaseConfig {
-    Micros heartbeatInterval = std::chrono::seconds(1); ///< how often each side says something
-    Micros leaseDuration = std::chrono::seconds(5);     ///< who has said nothing for so long has left
-    Micros ackTimeout = std::chrono::milliseconds(500); ///< who owes an answer for so long stands still
-    Micros stallTimeout = std::chrono::seconds(20);     ///< and for so long is let go
-    std::uint32_t reconnectsPerSecond = 200; ///< how many that are sent away may come back in a second
+/// What a server tells its clients of itself, and the limits that it keeps.
+struct ServerConfig {
+    std::string plannerName;
+    Epoch epoch; ///< of this planner incarnation; never used before
+    std::uint32_t proxyCount = 0;
+    FlowControlLimits flowControl;
+    LeaseConfig leases;
+    std::size_t maxTombstones = 0; ///< removed entries that each topic remembers
 };
 
 class SubscriptionServer final : public routing::UpdateTransport {
 public:
-    using Clock = std::function<Micros()>;
-    /// The planner, in a batch that is open (BatchRunner::openBatch).
-    using InputOf = std::function<Planner&()>;
+    /// Opens a batch of inputs to the planner, or returns the one that is open (BatchRunner::openBatch).
+    using OpenBatch = std::function<Planner&()>;
 
-    /// `epoch`: of this planner life, never used before. `proxies`: how many there are (ProxyFleetConfig).
-    /// `tombstones`: entries taken out of a topic that are remembered.
-    SubscriptionServer(routing::RoutingState& book, const net::NameRegistry& names, net::Counters& counters,
-                       std::string planner, Epoch epoch, std::uint32_t proxies, const FlowControlLimits& pace,
-                       const LeaseConfig& leases, std::size_t tombstones, InputOf input, Clock clock);
+    /// Registers itself as a transport of the routing state until it is destroyed. References must outlive it.
+    SubscriptionServer(routing::RoutingState& routingState, const net::NameRegistry& names,
+                       net::Counters& counters, const ServerConfig& config, OpenBatch openBatch, Clock clock);
     ~SubscriptionServer() override;
     SubscriptionServer(const SubscriptionServer&) = delete;
     SubscriptionServer& operator=(const SubscriptionServer&) = delete;
 
-    // -- streams --
-    /// A stream is up; the subscriber is the hub's until `ended`.
+    // -- sessions --
+    /// A connection was opened. The subscriber is owned by the server and valid until `sessionClosed`.
     Subscriber& sessionOpened(FrameTarget& target);
-    /// False: nothing more is taken on its stream.
-    bool handleFrame(Subscriber& from, const Frame& frame);
-    /// What it says can't be read.
-    void protocolError(Subscriber& from, const std::string& fault);
-    void sessionClosed(Subscriber& gone);
-    /// A turn of beats, leases and stalls: one of `kTurns` in each beat.
+    /// False: the session has ended, and nothing more may be read from its connection.
+    bool handleFrame(Subscriber& subscriber, const Frame& frame);
+    /// The connection carried something that is no valid frame.
+    void protocolError(Subscriber& subscriber, const std::string& fault);
+    void sessionClosed(Subscriber& subscriber);
+    /// Sends heartbeats and supervises leases and acknowledgments. To be called `kTicksPerHeartbeat` times in a
+    /// heartbeat interval; each call serves its share of the subscribers.
     void tick();
     static constexpr std::uint32_t kTicksPerHeartbeat = 10;
-    /// The channel is switched off: every subscriber is told when to come back. Its topics go on, so that who
-    /// comes back after `on` needs only what changed.
+    /// The channel is switched off: every subscriber is disconnected with a Retry-After. Topics are kept up to date, so
+    /// that subscribers that return after `resume` need only what changed.
     void suspend();
-    void resume() { off_ = false; }
+    void resume() { isSuspended_ = false; }
 
-    // -- what the order book tells --
-    void weightChanged(TableId table, EndpointId server, double weight) override;
+    // -- orders of the planner --
+    void weightChanged(TableId table, EndpointId endpoint, double weight) override;
     void tableAssigned(ProxyId proxy, TableId table) override;
-    void exclusionChanged(EndpointId server, bool out) override;
-    void admissionChanged(std::optional<TableId> table, RequestClassSet products) override;
-    void barrierRequested(BarrierId number, bool everyProxy) override;
-    void endpointForgotten(EndpointId server) override;
+    void exclusionChanged(EndpointId endpoint, bool excluded) override;
+    void admissionChanged(std::optional<TableId> table, RequestClassSet requestClasses) override;
+    void barrierRequested(BarrierId barrier, bool everyProxy) override;
+    void endpointForgotten(EndpointId endpoint) override;
     void sessionReplaced(ProxyId proxy) override;
     void flush() override;
-    double unacknowledgedLines() const override { return static_cast<double>(pacing_.lines()); }
+    double unacknowledgedLines() const override { return static_cast<double>(flowControl_.lines()); }
 
-    std::size_t subscribers() const { return subscribers_.size(); }
-    std::size_t inState(State state) const;
-    const FlowControl& pacing() const { return pacing_; }
-    const TopicLog* log(TopicId topic) const;
-    Epoch epoch() const { return epoch_; }
+    // -- observation --
+    std::size_t subscriberCount() const { return subscribers_.size(); }
+    std::size_t countInState(SessionState state) const;
+    const FlowControl& flowControl() const { return flowControl_; }
+    /// The log of a topic; null where there is none.
+    const TopicLog* log(TopicId topic) const { return topics_.find(topic); }
+    Epoch epoch() const { return config_.epoch; }
 
 private:
-    struct Topic {
-        explicit Topic(std::size_t tombstones) : log(tombstones) {}
-        TopicLog log;
-        std::vector<std::string> products;
-        // Encoded for the head as it is, by where it begins; and the last snapshot, while it is of use.
-        Sequence encodedAt{};
-        std::map<std::pair<Sequence, bool>, std::shared_ptr<const Message>> changes;
-        std::shared_ptr<const Message> snapshot[2];
-    };
-    using Call = bool (SubscriptionServer::*)(Subscriber&, const Frame&);
-    bool hello(Subscriber& from, const Frame& frame);
-    bool applied(Subscriber& from, const Frame& frame);
-    bool ask(Subscriber& from, const Frame& frame);
-    bool usage(Subscriber& from, const Frame& frame);
-    bool beat(Subscriber& from, const Frame& frame);
-    bool bye(Subscriber& from, const Frame& frame);
+    // One handler for each frame type; false: the session has ended.
+    bool dispatch(Subscriber& subscriber, const Frame& frame);
+    bool handleHello(Subscriber& subscriber, const Frame& frame);
+    bool handleApplied(Subscriber& subscriber, const Frame& frame);
+    bool handleAsk(Subscriber& subscriber, const Frame& frame);
+    bool handleUsage(Subscriber& subscriber, const Frame& frame);
+    /// Why a greeting is refused; empty: it is accepted.
+    std::string reasonForRefusal(const Hello& hello) const;
+    void joinAsProxy(Subscriber& subscriber, const Hello& hello);
+    void joinAsObserver(Subscriber& subscriber);
 
-    Topic& topic(TableId table);
-    void putLevels(TableId table, RequestClassSet products);
-    void hold(Subscriber& one, TopicId topic);
-    void watch(Subscriber& one);
-    bool due(TopicId topic, const Subscriber::Holding& holding) const;
-    std::shared_ptr<const Message> messageFor(Subscriber& one, TopicId topic,
-                                              const Subscriber::Holding& holding);
-    std::shared_ptr<const Message> encode(const Topic& of, TopicId topic, Sequence since, bool snapshot,
-                                          bool compressed);
-    void pump(Subscriber& one, bool again = false);
-    void pumpWaiting();
-    void settle(Subscriber& one);
-    /// False: nothing more is taken on its stream.
-    bool step(Subscriber& one, Input input, std::string_view reason = {});
-    void depart(Subscriber& one);
-    SharedFrame frameOf(FrameType type, std::string body);
+    /// Starts to send the topic, from the position that the subscriber holds of it.
+    void follow(Subscriber& subscriber, TopicId topic);
+    void followZone(Subscriber& subscriber);
+    void reportAcknowledgedBarrier(Subscriber& subscriber);
+    bool needsBarrier(const Subscriber& subscriber, const std::map<TopicId, Sequence>& heads) const;
 
-    routing::RoutingState& book_;
+    /// False: the session has ended.
+    bool transition(Subscriber& subscriber, SessionInput input, std::string_view reason = {});
+    void disconnect(Subscriber& subscriber, FrameType type, std::string_view reason, bool withRetryAfter);
+    /// Releases what the session holds: its proxy has left, and nothing unacknowledged is waited for.
+    void releaseSession(Subscriber& subscriber);
+    SharedFrame encodeServerFrame(FrameType type, std::string body) const;
+
+    using HeartbeatCache = std::map<TopicHeads, SharedFrame>;
+    void checkAckTimeout(Subscriber& subscriber, Micros now);
+    /// False: the session has ended.
+    bool checkLease(Subscriber& subscriber, Micros now);
+    void sendHeartbeat(Subscriber& subscriber, HeartbeatCache& encoded) const;
+
+    routing::RoutingState& routingState_;
     const net::NameRegistry& names_;
     net::Counters& counters_;
-    const std::string planner_;
-    const Epoch epoch_;
-    const std::uint32_t proxies_;
-    const LeaseConfig leases_;
-    const std::size_t tombstones_;
-    const InputOf input_;
+    const ServerConfig config_;
+    const OpenBatch openBatch_;
     const Clock clock_;
-    FlowControl pacing_;
-    RetryAfterPlanner comeBack_;
-    std::map<TopicId, Topic> topics_;
-    std::map<SubscriberId, std::unique_ptr<Subscriber>> subscribers_;
-    std::map<ProxyId, SubscriberId> members_;
-    std::set<SubscriberId> watchers_; // no proxies: they hold whatever their zone's proxies are bound to
-    std::uint64_t nextId_ = 1;
-    std::uint32_t turn_ = 0;
-    bool off_ = false, dirty_ = false, pumping_ = false;
+    TopicStore topics_;
+    MessageCache messages_;
+    FlowControl flowControl_;
+    RetryAfterPlanner retryAfter_;
+    Subscribers subscribers_;
+    std::map<ProxyId, SubscriberId> proxySessions_;
+    std::set<SubscriberId> observers_; // no proxies: they follow the tables of their zone's proxies
+    MessageSender sender_;
+    std::uint64_t nextSubscriberId_ = 1;
+    std::uint32_t tickInHeartbeat_ = 0;
+    bool isSuspended_ = false;
+    bool hasPendingChanges_ = false;
 };
 
 } // namespace zincstack::pubsub
--- a/src/pubsub/topic_log.cpp
+++ b/src/pubsub/topic_log.cpp
@@ -7,49 +7,56 @@
 bool TopicLog::put(const Entry& entry) {
     const auto& [key, value] = entry;
     const auto found = entries_.find(key);
-    const bool had = found != entries_.end(), out = gone(key, value);
-    if (had ? found->second.value == value : out) return false;
-    if (had) {
-        order_.erase(found->second.at);
-        tombstones_ -= gone(key, found->second.value);
+    const bool existed = found != entries_.end();
+    const bool removes = isRemoved(key, value);
+    const bool isUnchanged = existed ? found->second.value == value : removes;
+    if (isUnchanged) return false;
+    if (existed) {
+        byChange_.erase(found->second.changedAt);
+        tombstones_ -= isRemoved(key, found->second.value);
     }
     ++head_.value;
-    const auto at = entries_.insert_or_assign(key, Kept{value, head_}).first;
-    order_.emplace(head_, at);
-    tombstones_ += out;
-    if (tombstones_ > tombstonesMost_) forgetOldest();
+    const auto place = entries_.insert_or_assign(key, VersionedValue{value, head_}).first;
+    byChange_.emplace(head_, place);
+    tombstones_ += removes;
+    if (tombstones_ > maxTombstones_) dropOldestTombstone();
     return true;
 }
 
-/// Guards against growth where servers come and go for ever. Who is older than what is forgotten here would
-/// keep the line, so the floor rises past it.
-void TopicLog::forgetOldest() {
-    const auto oldest = std::ranges::find_if(
-        order_, [](const auto& one) { return gone(one.second->first, one.second->second.value); });
+/// Bounds memory where endpoints come and go forever. A reader from before the dropped tombstone would never learn of
+/// the removal, so the floor rises past it.
+void TopicLog::dropOldestTombstone() {
+    const auto oldest = std::ranges::find_if(byChange_, [](const auto& change) {
+        const auto& [key, versioned] = *change.second;
+        return isRemoved(key, versioned.value);
+    });
     floor_ = oldest->first;
     entries_.erase(oldest->second);
-    order_.erase(oldest);
+    byChange_.erase(oldest);
     --tombstones_;
 }
 
 std::vector<Entry> TopicLog::since(Sequence from) const {
     std::vector<Entry> out;
-    for (auto one = order_.upper_bound(from); one != order_.end(); ++one)
-        out.push_back({one->second->first, one->second->second.value});
+    for (auto change = byChange_.upper_bound(from); change != byChange_.end(); ++change) {
+        const auto& [key, versioned] = *change->second;
+        out.push_back({key, versioned.value});
+    }
     return out;
 }
 
 std::size_t TopicLog::changedSince(Sequence from, std::size_t most) const {
-    std::size_t out = 0;
-    for (auto one = order_.upper_bound(from); one != order_.end() && out < most; ++one) ++out;
-    return out;
+    std::size_t count = 0;
+    for (auto change = byChange_.upper_bound(from); change != byChange_.end() && count < most; ++change)
+        ++count;
+    return count;
 }
 
-std::vector<Entry> TopicLog::whole() const {
+std::vector<Entry> TopicLog::snapshot() const {
     std::vector<Entry> out;
     out.reserve(size());
-    for (const auto& [key, kept] : entries_)
-        if (!gone(key, kept.value)) out.push_back({key, kept.value});
+    for (const auto& [key, versioned] : entries_)
+        if (!isRemoved(key, versioned.value)) out.push_back({key, versioned.value});
     return out;
 }
 
--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -48,9 +48,14 @@
         io, counters, pool,
         [this] {
             auto out = std::make_unique<pubsub::SubscriptionServer>(
-                book, names, counters, "n1", pubsub::Epoch{5}, kProxies,
-                pubsub::FlowControlLimits{512, 16 * 1024, channelTerms.maxQueuedLines},
-                pubsub::LeaseConfig{.heartbeatInterval = 1s, .leaseDuration = 60s, .stallTimeout = 60s}, 100,
+                book, names, counters,
+                pubsub::ServerConfig{
+                    .plannerName = "n1",
+                    .epoch = pubsub::Epoch{5},
+                    .proxyCount = kProxies,
+                    .flowControl = {512, 16 * 1024, channelTerms.maxQueuedLines},
+                    .leases = {.heartbeatInterval = 1s, .leaseDuration = 60s, .stallTimeout = 60s},
+                    .maxTombstones = 100},
                 [this]() -> Planner& { return engine.openBatch(); }, [this] { return engine.now(); });
             hub = out.get();
             return out;
@@ -105,7 +110,8 @@
         const auto* table = replica.tableOf("lookup");
         if (!table || !links[k]->subscription().usable()) return false;
         std::map<std::string, double> picks;
-        for (const auto& [server, weight] : replica.picks(*table, client::SubscriptionClient::now()))
+        for (const auto& [server, weight] :
+             replica.eligibleEndpoints(*table, client::SubscriptionClient::now()))
             picks[server] = weight;
         const auto wanted = ordered(k % 2 ? 0 : 1);
         return !wanted.empty() && picks == wanted;
@@ -117,15 +123,15 @@
     }
     /// Rules 1, 3 and 5, after every piece of work.
     void check() {
-        const auto lines = static_cast<double>(hub->pacing().lines() + book.unacknowledgedLines());
+        const auto lines = static_cast<double>(hub->flowControl().lines() + book.unacknowledgedLines());
         if (lines > 0.95 * channelTerms.maxQueuedLines) broken = "short queue: too many lines wait";
     }
     void checkTables() {
         for (const auto& link : links) {
             const auto& replica = link->subscription().replica();
-            const auto known = replica.at(pubsub::kWithdrawnTopic);
+            const auto known = replica.at(pubsub::kExclusionsTopic);
             for (const auto& [topic, table] : replica.tables()) {
-                const auto picks = replica.picks(table, client::SubscriptionClient::now());
+                const auto picks = replica.eligibleEndpoints(table, client::SubscriptionClient::now());
                 if (picks.empty()) broken = "a joined proxy has no server";
                 for (const auto& [server, weight] : picks)
                     if (const auto out = outSince.find(server);
@@ -154,7 +160,7 @@
                     return false;
             return true;
         });
-        const auto head = hub->log(pubsub::kWithdrawnTopic)->head();
+        const auto head = hub->log(pubsub::kExclusionsTopic)->head();
         for (int k = from; k < to; ++k) outSince["s-" + std::to_string(k)] = head;
     }
 };
@@ -177,7 +183,8 @@
         until([&] { return allSame(); });
     }
     EXPECT_GT(counters.of(net::Counter::Takeovers) + counters.of(net::Counter::StreamsEnded), 100U);
-    EXPECT_LE(hub->pacing().mostLines(), static_cast<std::size_t>(0.95 * channelTerms.maxQueuedLines));
+    EXPECT_LE(hub->flowControl().maxLinesSeen(),
+              static_cast<std::size_t>(0.95 * channelTerms.maxQueuedLines));
 }
 
 TEST_F(Site, SwitchedOffAndOnAgainAllComeBackAndOnlyNeedWhatChanged) {
@@ -245,7 +252,7 @@
     EXPECT_FALSE(visitor->joinDeadlineExpired());
     EXPECT_FALSE(visitor->feed("x"));
     visitor->connectionClosed();
-    EXPECT_EQ(hub->subscribers(), 0U);
+    EXPECT_EQ(hub->subscriberCount(), 0U);
 }
 
 TEST_F(Site, StrangersOnTheChannelAreClosedWithAReasonAndDisturbNobody) {
--- a/tests/digest_pubsub.cpp
+++ b/tests/digest_pubsub.cpp
@@ -163,7 +163,7 @@
         pubsub::Frame ask{pubsub::FrameType::Ask};
         ask.topic = pubsub::topicOf(Yard::tableOf(numbers_.below(Yard::kZones)));
         ask.epoch = yard_.hub->epoch();
-        anyClient().say(pubsub::writeFrame(ask, false));
+        anyClient().say(pubsub::encodeFrame(ask, false));
     }
     void readLittle() {
         for (auto& client : yard_.clients)
--- a/tests/pubsub_harness.h
+++ b/tests/pubsub_harness.h
@@ -76,7 +76,8 @@
     }
     void open() {
         hub = std::make_unique<pubsub::SubscriptionServer>(
-            book, names, counters, "n1", pubsub::Epoch{life}, 2000, pace, leases, tombstones,
+            book, names, counters,
+            pubsub::ServerConfig{"n1", pubsub::Epoch{life}, 2000, pace, leases, tombstones},
             [this]() -> Planner& { return planner; }, [this] { return now; });
     }
 
@@ -91,7 +92,7 @@
             toClient += *frame;
             return true;
         }
-        void leave(std::string words) override {
+        void close(std::string words) override {
             if (up && yard.onBytes) yard.onBytes(number, Direction::ToSubscriber, words);
             if (up) toClient += words;
             up = false;
@@ -105,7 +106,7 @@
         std::string toClient;
         std::size_t most = 64 * 1024;
         bool up = true;
-        pubsub::FrameReader reader{pubsub::kClientFrameMost};
+        pubsub::FrameReader reader{pubsub::kMaxClientFrameBytes};
         pubsub::Subscriber* subscriber;
     };
     std::vector<std::shared_ptr<End>> ends;
@@ -177,7 +178,7 @@
     void withdraw(int k, bool out) {
         book.setExcluded(server(k), out);
         if (out)
-            outAt["s-" + std::to_string(k)] = hub->log(pubsub::kWithdrawnTopic)->head();
+            outAt["s-" + std::to_string(k)] = hub->log(pubsub::kExclusionsTopic)->head();
         else
             outAt.erase("s-" + std::to_string(k));
     }
@@ -229,7 +230,7 @@
         const auto wanted = ordered(zone);
         if (!table || table->weights != wanted) return false;
         for (const auto& [server, weight] : wanted)
-            if (one.replica().withdrawn(server, now) !=
+            if (one.replica().isExcluded(server, now) !=
                 book.excludedEndpoints().contains(*names.endpoint(server)))
                 return false;
         return true;
@@ -238,7 +239,7 @@
         if (!holds) broken.emplace_back(what);
     }
     void check() {
-        const auto& pacing = hub->pacing();
+        const auto& pacing = hub->flowControl();
         expect(static_cast<double>(pacing.lines() + book.unacknowledgedLines()) <= 0.95 * pace.maxQueuedLines,
                "short queue: too many lines wait");
         for (const auto& one : ends)
@@ -246,9 +247,9 @@
                    "too much waits for one subscriber");
         for (const auto& one : clients) {
             if (one->replica().epoch() != hub->epoch()) continue;
-            const auto known = one->replica().at(pubsub::kWithdrawnTopic);
+            const auto known = one->replica().at(pubsub::kExclusionsTopic);
             for (const auto& [topic, table] : one->replica().tables())
-                for (const auto& [server, weight] : one->replica().picks(table, now)) {
+                for (const auto& [server, weight] : one->replica().eligibleEndpoints(table, now)) {
                     const auto out = outAt.find(server);
                     expect(out == outAt.end() || !known || *known < out->second,
                            "drains kept: a server is picked that is known to be withdrawn");
--- a/tests/pubsub_test.cpp
+++ b/tests/pubsub_test.cpp
@@ -17,12 +17,12 @@
 using namespace std::chrono_literals;
 using Lines = std::map<std::string, double>;
 
-Entry line(int k, double weight) { return {{Key::Kind::Line, "s-" + std::to_string(k)}, {weight, {}}}; }
+Entry line(int k, double weight) { return {{Key::Kind::Weight, "s-" + std::to_string(k)}, {weight, {}}}; }
 
 void applyTo(Lines& lines, const std::vector<Entry>& entries) {
     for (const auto& [key, value] : entries)
-        if (value.figure > 0)
-            lines[key.name] = value.figure;
+        if (value.number > 0)
+            lines[key.name] = value.number;
         else
             lines.erase(key.name);
 }
@@ -49,7 +49,7 @@
         RC_ASSERT(log.changedSince(at, 100) == since.size());
     }
     Lines whole;
-    applyTo(whole, log.whole());
+    applyTo(whole, log.snapshot());
     RC_ASSERT(whole == now);
 }
 
@@ -58,7 +58,7 @@
     EXPECT_TRUE(log.put(line(1, 2)));
     EXPECT_FALSE(log.put(line(1, 2)));
     EXPECT_FALSE(log.put(line(9, 0)));
-    EXPECT_TRUE(log.put({{Key::Kind::Level, "lookup"}, {0, {}}})); // declines all, and stands
+    EXPECT_TRUE(log.put({{Key::Kind::Admission, "lookup"}, {0, {}}})); // declines all, and stands
     EXPECT_EQ(log.head(), Sequence{2});
     EXPECT_EQ(log.size(), 2U);
     log.put(line(2, 1)), log.put(line(1, 0));
@@ -82,9 +82,9 @@
     std::vector<std::string> wanted, got;
     for (int k = *rc::gen::inRange(0, 5); k > 0; --k) {
         wanted.push_back(std::string(*rc::gen::inRange<std::size_t>(0, 3000), static_cast<char>('a' + k)));
-        all += writeFrame(frameOf(FrameType::Changes, wanted.back()), *rc::gen::arbitrary<bool>());
+        all += encodeFrame(frameOf(FrameType::Changes, wanted.back()), *rc::gen::arbitrary<bool>());
     }
-    FrameReader reader(kPlannerFrameMost);
+    FrameReader reader(kMaxServerFrameBytes);
     for (std::string_view rest = all; !rest.empty();) {
         const auto size = std::min<std::size_t>(rest.size(), *rc::gen::inRange(1, 700));
         const auto fault = reader.feed(rest.substr(0, size), [&](Frame& frame) {
@@ -95,46 +95,47 @@
         rest.remove_prefix(size);
     }
     RC_ASSERT(got == wanted);
-    RC_ASSERT(reader.held() == 0U);
+    RC_ASSERT(reader.bufferedBytes() == 0U);
 }
 
 RC_GTEST_PROP(ChannelWire, AnyBytesAreRefusedOrReadAndNoMoreThanAFrameIsHeld, ()) {
-    auto text = writeFrame(
-        frameOf(FrameType::Snapshot, write(TopicBody{{"lookup"}, {line(1, 2), line(2, .5)}})), true);
+    auto text = encodeFrame(
+        frameOf(FrameType::Snapshot, encode(TopicBody{{"lookup"}, {line(1, 2), line(2, .5)}})), true);
     for (int k = *rc::gen::inRange(0, 6); k > 0; --k)
         text[*rc::gen::inRange<std::size_t>(0, text.size())] = static_cast<char>(*rc::gen::inRange(0, 256));
     text += *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
-    FrameReader reader(kClientFrameMost);
+    FrameReader reader(kMaxClientFrameBytes);
     reader.feed(text, [](Frame& frame) {
-        readHello(frame.body), readWelcome(frame.body), readParting(frame.body), readUsage(frame.body);
-        readHeads(frame.body), readTopic(frame.body);
+        decodeHello(frame.body), decodeWelcome(frame.body), decodeDisconnectNotice(frame.body),
+            decodeDemandRecord(frame.body);
+        decodeTopicHeads(frame.body), decodeTopicBody(frame.body);
         return true;
     });
-    RC_ASSERT(reader.held() <= kClientFrameMost);
+    RC_ASSERT(reader.bufferedBytes() <= kMaxClientFrameBytes);
 }
 
 TEST(ChannelWire, BodiesComeBackAsTheyWere) {
     Hello hello;
-    hello.proxy = ProxyId{17}, hello.zone = "a", hello.weight = 21.5, hello.fresh = true;
-    hello.have = {{{1}, {1'790'000'000'000'000}, {5}}};
-    const auto greeting = readHello(write(hello));
+    hello.proxy = ProxyId{17}, hello.zone = "a", hello.weight = 21.5, hello.onlyBootstrapTable = true;
+    hello.positions = {{{1}, {1'790'000'000'000'000}, {5}}};
+    const auto greeting = decodeHello(encode(hello));
     ASSERT_TRUE(greeting);
     EXPECT_EQ(greeting->proxy, hello.proxy);
     EXPECT_EQ(greeting->weight, 21.5);
-    EXPECT_EQ(greeting->have, hello.have);
-    const auto parting = readParting(write(DisconnectNotice{"off", 3s}));
+    EXPECT_EQ(greeting->positions, hello.positions);
+    const auto parting = decodeDisconnectNotice(encode(DisconnectNotice{"off", 3s}));
     EXPECT_EQ(parting->retryAfter, Micros(3s));
-    EXPECT_FALSE(readParting(write(DisconnectNotice{"off", {}}))->retryAfter);
+    EXPECT_FALSE(decodeDisconnectNotice(encode(DisconnectNotice{"off", {}}))->retryAfter);
     TopicBody body{{"lookup", "order"},
                    {line(1, 0.6),
                     line(2, 3),
-                    {{Key::Kind::Level, "order"}, {0.25, RetryPolicy::AfterProofOfNoEffect}},
-                    {{Key::Kind::Out, "s-9"}, {1, {}}}}};
-    const auto topic = readTopic(write(body));
-    EXPECT_EQ(topic->products, body.products);
+                    {{Key::Kind::Admission, "order"}, {0.25, RetryPolicy::AfterProofOfNoEffect}},
+                    {{Key::Kind::Exclusion, "s-9"}, {1, {}}}}};
+    const auto topic = decodeTopicBody(encode(body));
+    EXPECT_EQ(topic->requestClasses, body.requestClasses);
     EXPECT_EQ(topic->entries, body.entries);
-    EXPECT_EQ(readHeads(write(Heads{{{0}, {4}}, {{2}, {5}}}))->size(), 2U);
-    EXPECT_EQ(readUsage(write(DemandRecord{"order", 5, 1, 1s}))->requests, 5U);
+    EXPECT_EQ(decodeTopicHeads(encode(TopicHeads{{{0}, {4}}, {{2}, {5}}}))->size(), 2U);
+    EXPECT_EQ(decodeDemandRecord(encode(DemandRecord{"order", 5, 1, 1s}))->requests, 5U);
 }
 
 std::string cborOf(const nlohmann::json& value) {
@@ -146,7 +147,7 @@
 TEST(ChannelWire, BodiesThatCantBeAreRefused) {
     using nlohmann::json;
     const json hello{{"versions", {1, 1}}, {"features", 0}, {"zone", "a"}};
-    EXPECT_TRUE(readHello(cborOf(hello)));
+    EXPECT_TRUE(decodeHello(cborOf(hello)));
     for (const auto& [name, bad] : std::vector<std::pair<std::string, json>>{{"versions", 1},
                                                                              {"versions", {1}},
                                                                              {"versions", {-1, 1}},
@@ -159,33 +160,33 @@
                                                                              {"have", 4}}) {
         json other = hello;
         other[name] = bad;
-        EXPECT_FALSE(readHello(cborOf(other))) << name << " " << bad;
+        EXPECT_FALSE(decodeHello(cborOf(other))) << name << " " << bad;
     }
     for (const json& bad :
          {json{{"lines", {{"s", -1}}}}, json{{"lines", {{"s", "1"}}}}, json{{"lines", {{"", 1}}}},
           json{{"levels", {{"p", 1}}}}, json{{"levels", {{"p", {1, 9}}}}}, json::array({1})})
-        EXPECT_FALSE(readTopic(cborOf(bad))) << bad;
+        EXPECT_FALSE(decodeTopicBody(cborOf(bad))) << bad;
     EXPECT_TRUE(
-        readTopic(cborOf({{"later", {1, 2}}, {"lines", {{"s", 1}}}}))); // what is not known is let pass
-    EXPECT_FALSE(readTopic(std::string(100'000, '\x81')));              // as deep as it is long
-    EXPECT_FALSE(readTopic(std::string(9, '\xbb')));                    // a map of more than any memory holds
-    EXPECT_FALSE(readTopic(std::string("\x9b\xff\xff\xff\xff\xff\xff\xff\xff", 9)));
+        decodeTopicBody(cborOf({{"later", {1, 2}}, {"lines", {{"s", 1}}}}))); // what is not known is let pass
+    EXPECT_FALSE(decodeTopicBody(std::string(100'000, '\x81')));              // as deep as it is long
+    EXPECT_FALSE(decodeTopicBody(std::string(9, '\xbb'))); // a map of more than any memory holds
+    EXPECT_FALSE(decodeTopicBody(std::string("\x9b\xff\xff\xff\xff\xff\xff\xff\xff", 9)));
 }
 
 TEST(ChannelWire, ImpossibleLengthsAndBombsAreRefusedBeforeAnythingGrows) {
     const auto faultOf = [](std::string bytes) {
-        FrameReader reader(kClientFrameMost);
+        FrameReader reader(kMaxClientFrameBytes);
         const auto fault = reader.feed(bytes, [](Frame&) { return true; });
-        EXPECT_LE(reader.held(), kClientFrameMost);
+        EXPECT_LE(reader.bufferedBytes(), kMaxClientFrameBytes);
         return fault.value_or("");
     };
     EXPECT_NE(faultOf("GET / HTTP/1.1\r\n\r\n").find("a frame of"), std::string::npos);
     EXPECT_NE(faultOf(std::string("\xff\xff\xff\xff", 4)).find("a frame of"), std::string::npos);
     EXPECT_NE(faultOf(std::string("\0\0\0\1", 4)).find("a frame of 1 "), std::string::npos);
     EXPECT_EQ(faultOf(std::string("\0\0\0", 3)), "");
-    const std::string zeros(kBodyMost, '\0');
+    const std::string zeros(kMaxBodyBytes, '\0');
     std::string bomb =
-        writeFrame(frameOf(FrameType::Hello, zeros), true); // a few bytes that unpack to all that may be
+        encodeFrame(frameOf(FrameType::Hello, zeros), true); // a few bytes that unpack to all that may be
     EXPECT_LT(bomb.size(), 1000U);
     EXPECT_EQ(faultOf(bomb), "");
     bomb[12] = '\x7f'; // and more than may be
@@ -199,26 +200,26 @@
     TopicLog log(4);
     Replica replica(10s);
     Epoch epoch{5};
-    replica.connected(epoch);
+    replica.sessionAccepted(epoch);
     std::vector<Frame> flying;
     std::map<Sequence, Lines> states{{log.head(), {}}};
     Lines truth;
     const auto send = [&](FrameType type, Sequence since) {
         Frame frame{type};
         frame.topic = {1}, frame.epoch = epoch, frame.sequence = log.head(), frame.since = since;
-        const auto all = type == FrameType::Snapshot ? log.whole() : log.since(since);
+        const auto all = type == FrameType::Snapshot ? log.snapshot() : log.since(since);
         for (std::size_t at = 0; at == 0 || at < all.size(); at += 2, ++frame.part) { // two entries a part
             const auto last = std::min(at + 2, all.size());
             frame.more = last < all.size();
-            frame.body = write(TopicBody{{"lookup"},
-                                         {all.begin() + static_cast<std::ptrdiff_t>(at),
-                                          all.begin() + static_cast<std::ptrdiff_t>(last)}});
+            frame.body = encode(TopicBody{{"lookup"},
+                                          {all.begin() + static_cast<std::ptrdiff_t>(at),
+                                           all.begin() + static_cast<std::ptrdiff_t>(last)}});
             flying.push_back(frame);
         }
     };
     const auto arrive = [&](std::size_t which) {
         const auto before = replica.at({1});
-        replica.take(flying[which], 1s);
+        replica.apply(flying[which], 1s);
         const auto after = replica.at({1});
         RC_ASSERT((!before || (after && *after >= *before)));
         if (after && states.contains(*after)) {
@@ -260,74 +261,81 @@
                           std::uint16_t part = 0) {
         Frame out{FrameType::Snapshot};
         out.epoch = epoch, out.topic = topic, out.sequence = {3}, out.more = more, out.part = part;
-        out.body = write(TopicBody{{"lookup"}, std::move(entries)});
+        out.body = encode(TopicBody{{"lookup"}, std::move(entries)});
         return out;
     };
-    const Entry out1{{Key::Kind::Out, "s-1"}, {1, {}}};
-    replica.connected({1});
-    EXPECT_EQ(replica.take(frame({1}, {0}, {out1}), 1s), Replica::Outcome::Applied);
-    EXPECT_EQ(replica.take(frame({1}, {1}, {line(1, 1), line(2, 1)}), 1s), Replica::Outcome::Applied);
-    EXPECT_EQ(replica.picks(*replica.tableOf("lookup"), 1s).size(), 1U);
-
-    replica.connected({2}); // has not heard of the drain yet
-    EXPECT_EQ(replica.take(frame({1}, {1}, {line(3, 1)}), 2s), Replica::Outcome::Foreign);
-    EXPECT_EQ(replica.take(frame({2}, {0}, {}), 2s), Replica::Outcome::Applied);
-    EXPECT_EQ(replica.take(frame({2}, {1}, {line(1, 1)}, true), 2s), Replica::Outcome::Part);
+    const Entry out1{{Key::Kind::Exclusion, "s-1"}, {1, {}}};
+    replica.sessionAccepted({1});
+    EXPECT_EQ(replica.apply(frame({1}, {0}, {out1}), 1s), Replica::Outcome::Applied);
+    EXPECT_EQ(replica.apply(frame({1}, {1}, {line(1, 1), line(2, 1)}), 1s), Replica::Outcome::Applied);
+    EXPECT_EQ(replica.eligibleEndpoints(*replica.tableOf("lookup"), 1s).size(), 1U);
+
+    replica.sessionAccepted({2}); // has not heard of the drain yet
+    EXPECT_EQ(replica.apply(frame({1}, {1}, {line(3, 1)}), 2s), Replica::Outcome::OtherEpoch);
+    EXPECT_EQ(replica.apply(frame({2}, {0}, {}), 2s), Replica::Outcome::Applied);
+    EXPECT_EQ(replica.apply(frame({2}, {1}, {line(1, 1)}, true), 2s), Replica::Outcome::PartReceived);
     EXPECT_EQ(replica.tableOf("lookup")->weights.size(), 2U); // not whole yet
-    EXPECT_EQ(replica.take(frame({2}, {1}, {line(2, 1)}, false, 1), 2s), Replica::Outcome::Applied);
-    EXPECT_TRUE(replica.withdrawn("s-1", 2s));
-    EXPECT_FALSE(replica.withdrawn("s-1", 12s));                                         // hearsay by now
-    EXPECT_EQ(replica.take(frame({2}, {1}, {line(1, 1)}), 2s), Replica::Outcome::Known); // same sequence
+    EXPECT_EQ(replica.apply(frame({2}, {1}, {line(2, 1)}, false, 1), 2s), Replica::Outcome::Applied);
+    EXPECT_TRUE(replica.isExcluded("s-1", 2s));
+    EXPECT_FALSE(replica.isExcluded("s-1", 12s)); // hearsay by now
+    EXPECT_EQ(replica.apply(frame({2}, {1}, {line(1, 1)}), 2s), Replica::Outcome::Duplicate); // same sequence
     // Where only such a server is left, nobody stays without.
-    replica.connected({3});
-    EXPECT_EQ(replica.take(frame({3}, {1}, {line(1, 1)}), 2s), Replica::Outcome::Applied);
-    EXPECT_EQ(replica.picks(*replica.tableOf("lookup"), 3s).size(), 1U);
-}
-
-TEST(Pacing, EachAndAllAreBoundedAndWhatIsUrgentHasRoomLeft) {
-    FlowControl pacing({.maxLinesPerSubscriber = 100, .maxBytesPerSubscriber = 1000, .maxQueuedLines = 1000});
-    using Verdict = FlowControl::Verdict;
-    Window one, other;
-    EXPECT_EQ(pacing.may(Urgency::Snapshot, 300, 9000, one, 0), Verdict::Go); // alone, however large
-    pacing.sent(one, 300, 9000);
-    EXPECT_EQ(pacing.may(Urgency::Change, 1, 1, one, 0), Verdict::OwnFull);
-    EXPECT_EQ(pacing.may(Urgency::Snapshot, 100, 100, other, 150), Verdict::AllFull);
-    EXPECT_EQ(pacing.may(Urgency::Change, 100, 100, other, 150), Verdict::Go);
-    EXPECT_EQ(pacing.may(Urgency::Change, 100, 100, other, 400), Verdict::AllFull);
-    EXPECT_EQ(pacing.may(Urgency::Withdrawal, 100, 100, other, 400), Verdict::Go);
-    EXPECT_EQ(pacing.may(Urgency::Withdrawal, 100, 100, other, 600), Verdict::AllFull);
-    pacing.answered(one, 300, 9000);
-    EXPECT_EQ(pacing.lines(), 0U);
-    pacing.wait({1}, Urgency::Snapshot, false), pacing.wait({2}, Urgency::Snapshot, false);
-    pacing.wait({3}, Urgency::Withdrawal, false), pacing.wait({4}, Urgency::Snapshot, true);
-    for (const std::uint64_t next : {3U, 4U, 1U, 2U}) EXPECT_EQ(pacing.next()->first, SubscriberId{next});
-    EXPECT_FALSE(pacing.next());
+    replica.sessionAccepted({3});
+    EXPECT_EQ(replica.apply(frame({3}, {1}, {line(1, 1)}), 2s), Replica::Outcome::Applied);
+    EXPECT_EQ(replica.eligibleEndpoints(*replica.tableOf("lookup"), 3s).size(), 1U);
+}
+
+TEST(FlowControl, EachAndAllAreBoundedAndUrgentMessagesHaveCapacityLeft) {
+    FlowControl flowControl(
+        {.maxLinesPerSubscriber = 100, .maxBytesPerSubscriber = 1000, .maxQueuedLines = 1000});
+    using Decision = FlowControl::Decision;
+    const MessageSize large{300, 9000};
+    const MessageSize medium{100, 100};
+    Window first;
+    Window second;
+    EXPECT_EQ(flowControl.check(MessagePriority::Snapshot, large, first, 0), Decision::Send); // alone
+    flowControl.onSent(first, large);
+    EXPECT_EQ(flowControl.check(MessagePriority::Change, {1, 1}, first, 0), Decision::SubscriberWindowFull);
+    EXPECT_EQ(flowControl.check(MessagePriority::Snapshot, medium, second, 150), Decision::TotalWindowFull);
+    EXPECT_EQ(flowControl.check(MessagePriority::Change, medium, second, 150), Decision::Send);
+    EXPECT_EQ(flowControl.check(MessagePriority::Change, medium, second, 400), Decision::TotalWindowFull);
+    EXPECT_EQ(flowControl.check(MessagePriority::Exclusion, medium, second, 400), Decision::Send);
+    EXPECT_EQ(flowControl.check(MessagePriority::Exclusion, medium, second, 600), Decision::TotalWindowFull);
+    flowControl.onAcknowledged(first, large);
+    EXPECT_EQ(flowControl.lines(), 0U);
+    flowControl.enqueueWaiter({1}, MessagePriority::Snapshot, false);
+    flowControl.enqueueWaiter({2}, MessagePriority::Snapshot, false);
+    flowControl.enqueueWaiter({3}, MessagePriority::Exclusion, false);
+    flowControl.enqueueWaiter({4}, MessagePriority::Snapshot, true);
+    for (const std::uint64_t next : {3U, 4U, 1U, 2U})
+        EXPECT_EQ(flowControl.dequeueWaiter(), SubscriberId{next});
+    EXPECT_FALSE(flowControl.dequeueWaiter());
 }
 
 TEST(RetryAfterPlanner, ThoseWhoAreSentAwayTogetherComeBackApart) {
     RetryAfterPlanner spread(1s, 100);
-    EXPECT_EQ(spread.after(5s), 1s);
-    for (int k = 1; k < 300; ++k) EXPECT_EQ(spread.after(5s), 1s + k * 10ms);
-    EXPECT_EQ(spread.after(60s), 1s);
+    EXPECT_EQ(spread.nextRetryAfter(5s), 1s);
+    for (int k = 1; k < 300; ++k) EXPECT_EQ(spread.nextRetryAfter(5s), 1s + k * 10ms);
+    EXPECT_EQ(spread.nextRetryAfter(60s), 1s);
 }
 
 TEST(Redial, WaitsDoubleAreSpreadAndTheNextPlannerIsTried) {
     client::ReconnectBackoff redial(2, {.initialDelay = 100ms, .maxDelay = 1s, .resetAfter = 10s}, 7);
     Micros most{};
     for (std::size_t k = 0; k < 12; ++k) {
-        const auto call = redial.next(0s, {});
+        const auto call = redial.nextAttempt(0s, {});
         EXPECT_EQ(call.address, (k + 1) % 2);
         const Micros wait = std::min(Micros(100ms * (1 << k / 2)), Micros(1s));
-        EXPECT_GE(call.wait, wait / 2);
-        EXPECT_LE(call.wait, wait);
-        most = std::max(most, call.wait);
+        EXPECT_GE(call.delay, wait / 2);
+        EXPECT_LE(call.delay, wait);
+        most = std::max(most, call.delay);
     }
     EXPECT_GT(most, 500ms);
-    EXPECT_EQ(redial.next(0s, 3s).wait, 3s); // as the planner said, and the same planner
+    EXPECT_EQ(redial.nextAttempt(0s, 3s).delay, 3s); // as the planner said, and the same planner
     EXPECT_EQ(redial.address(), 0U);
-    EXPECT_LE(redial.next(11s, {}).wait, 100ms);
-    const auto first = client::ReconnectBackoff(2, {}, 1).next(0s, {}).wait,
-               second = client::ReconnectBackoff(2, {}, 2).next(0s, {}).wait;
+    EXPECT_LE(redial.nextAttempt(11s, {}).delay, 100ms);
+    const auto first = client::ReconnectBackoff(2, {}, 1).nextAttempt(0s, {}).delay,
+               second = client::ReconnectBackoff(2, {}, 2).nextAttempt(0s, {}).delay;
     EXPECT_NE(first, second);
 }
 
@@ -372,7 +380,7 @@
     EXPECT_EQ(planner.seen.back(), "usage 1 19");
     second();
     EXPECT_EQ(one.subscription.state(), client::Subscription::State::Live);
-    EXPECT_EQ(hub->inState(State::Live), 1U);
+    EXPECT_EQ(hub->countInState(SessionState::Live), 1U);
 }
 
 TEST_F(PubsubService, ChangesAreEncodedOnceForAll) {
@@ -417,13 +425,13 @@
     }
     batch([&] { line(0, 1, 8), line(0, 2, 0), withdraw(2, true); });
     settle();
-    const auto known = one.subscription.tally().known;
-    FrameReader reader(kPlannerFrameMost);
+    const auto known = one.subscription.frameCounts().duplicates;
+    FrameReader reader(kMaxServerFrameBytes);
     reader.feed(old, [&](Frame& frame) {
-        if (frame.type == FrameType::Snapshot) one.subscription.feed(writeFrame(frame, false), now);
+        if (frame.type == FrameType::Snapshot) one.subscription.feed(encodeFrame(frame, false), now);
         return true;
     });
-    EXPECT_EQ(one.subscription.tally().known, known + 2);
+    EXPECT_EQ(one.subscription.frameCounts().duplicates, known + 2);
     EXPECT_TRUE(same(one, 0));
 }
 
@@ -454,9 +462,9 @@
     settle();
     EXPECT_LT(*one.replica().at(topicOf(tableOf(0))), before);
     EXPECT_EQ(one.table()->weights, ordered(0));
-    EXPECT_TRUE(one.replica().withdrawn("s-4", now)); // the new life has not heard of it
+    EXPECT_TRUE(one.replica().isExcluded("s-4", now)); // the new life has not heard of it
     now += 11s;
-    EXPECT_FALSE(one.replica().withdrawn("s-4", now));
+    EXPECT_FALSE(one.replica().isExcluded("s-4", now));
 }
 
 TEST(ChannelOfTwo, ASubscriberMovesBetweenPlannersAndBackWithoutGoingBack) {
@@ -492,7 +500,7 @@
         live.read();
     }
     batch([&] { line(0, 7, 0), withdraw(7, true); });
-    EXPECT_EQ(slow.end->subscriber->state(), State::Lagging);
+    EXPECT_EQ(slow.end->subscriber->state(), SessionState::Lagging);
     EXPECT_GE(counters.of(net::Counter::Lags), 1U);
     EXPECT_LE(slow.end->subscriber->window.lines, 2 * pace.maxLinesPerSubscriber);
     live.read();
@@ -500,7 +508,7 @@
     slow.stalled = false;
     settle();
     EXPECT_TRUE(same(slow, 0));
-    EXPECT_EQ(slow.end->subscriber->state(), State::Live);
+    EXPECT_EQ(slow.end->subscriber->state(), SessionState::Live);
     EXPECT_EQ(slow.end->subscriber->window.lines, 0U);
 }
 
@@ -519,7 +527,7 @@
     settle();
     for (std::size_t k = 0; k < 200; ++k) told += k % 10 && same(*clients[k], 0);
     EXPECT_EQ(told, 180U);
-    EXPECT_EQ(hub->pacing().lines(), 0U);
+    EXPECT_EQ(hub->flowControl().lines(), 0U);
 }
 
 TEST_F(PubsubService, AWithdrawalOvertakesTheTableOfOneThatHasNotReadIt) {
@@ -532,7 +540,7 @@
     bool told = false;
     for (int k = 0; k < 1000 && !told; ++k) {
         one.read(512);
-        told = one.replica().withdrawn("s-999", now);
+        told = one.replica().isExcluded("s-999", now);
     }
     EXPECT_TRUE(told);
     EXPECT_EQ(one.table(), nullptr); // the table is not whole yet
@@ -572,7 +580,7 @@
     ASSERT_TRUE(mute.subscription.disconnectNotice());
     EXPECT_NE(mute.subscription.disconnectNotice()->reason.find("lease"), std::string::npos);
     EXPECT_TRUE(mute.subscription.disconnectNotice()->retryAfter);
-    EXPECT_EQ(hub->pacing().lines(), 0U);
+    EXPECT_EQ(hub->flowControl().lines(), 0U);
 }
 
 TEST_F(PubsubService, HundredsThatReturnAtOnceFillNoQueueAndStarveNobody) {
@@ -592,7 +600,7 @@
     EXPECT_LT(turns, 100U);
     settle();
     for (const auto& one : clients) EXPECT_TRUE(same(*one, 0));
-    EXPECT_LE(static_cast<double>(hub->pacing().mostLines()), 0.75 * pace.maxQueuedLines);
+    EXPECT_LE(static_cast<double>(hub->flowControl().maxLinesSeen()), 0.75 * pace.maxQueuedLines);
 }
 
 TEST_F(PubsubService, ADrainIsHeldByAllWhileAThirdAreInResync) {
@@ -604,17 +612,17 @@
         Client& one = *clients[k];
         Frame ask{FrameType::Ask};
         ask.topic = topicOf(tableOf(0)), ask.epoch = hub->epoch();
-        one.say(writeFrame(ask, false));
+        one.say(encodeFrame(ask, false));
     }
-    EXPECT_GT(hub->inState(State::Resync), 0U);
+    EXPECT_GT(hub->countInState(SessionState::Resync), 0U);
     batch([&] { withdraw(8, true), line(0, 8, 0); });
     for (const auto& one : clients) one->read(8 * 1024); // as much as comes in one go
     std::size_t told = 0;
-    for (const auto& one : clients) told += one->replica().withdrawn("s-8", now);
+    for (const auto& one : clients) told += one->replica().isExcluded("s-8", now);
     EXPECT_EQ(told, clients.size());
     settle();
     for (const auto& one : clients) EXPECT_TRUE(same(*one, 0));
-    EXPECT_EQ(hub->inState(State::Live), 90U);
+    EXPECT_EQ(hub->countInState(SessionState::Live), 90U);
 }
 
 TEST_F(PubsubService, ALevelChangeThatASnapshotOvertakesIsInIt) {
@@ -624,7 +632,7 @@
     batch([&] { book.setAdmission(tableOf(0), 1, 0.3, RetryPolicy::Never); });
     Frame ask{FrameType::Ask};
     ask.topic = topicOf(tableOf(0)), ask.epoch = hub->epoch();
-    one.say(writeFrame(ask, false));
+    one.say(encodeFrame(ask, false));
     batch([&] { book.setAdmission(tableOf(0), 1, 0.7, RetryPolicy::Never); });
     one.stalled = false;
     settle();
@@ -684,12 +692,12 @@
         Client one(*this, 1, "a");
         one.end = std::make_shared<End>(*this);
         Frame frame{FrameType::Hello};
-        frame.body = write(hello);
-        one.say(writeFrame(frame, false));
+        frame.body = encode(hello);
+        one.say(encodeFrame(frame, false));
         std::string out;
-        FrameReader reader(kPlannerFrameMost);
+        FrameReader reader(kMaxServerFrameBytes);
         reader.feed(one.end->toClient, [&](Frame& got) {
-            if (got.type == FrameType::Refused) out = readParting(got.body)->reason;
+            if (got.type == FrameType::Refused) out = decodeDisconnectNotice(got.body)->reason;
             return true;
         });
         EXPECT_FALSE(one.end->up && !out.empty());
@@ -703,9 +711,9 @@
     EXPECT_EQ(reasonOf(hello), "no such zone: zz");
     hello.zone = "a", hello.proxy = ProxyId{2000};
     EXPECT_EQ(reasonOf(hello), "no such proxy: 2000");
-    hello.proxy = ProxyId{3}, hello.versionLeast = 2, hello.versionMost = 4;
+    hello.proxy = ProxyId{3}, hello.minVersion = 2, hello.maxVersion = 4;
     EXPECT_NE(reasonOf(hello).find("speaks 1, it was asked for 2 to 4"), std::string::npos);
-    hello.versionLeast = 0; // a range that holds ours
+    hello.minVersion = 0; // a range that holds ours
     EXPECT_EQ(reasonOf(hello), "");
     EXPECT_TRUE(planner.in.empty());
 }
@@ -716,8 +724,9 @@
     const std::string hello = well.subscription.farewell("x");
     for (const std::string& bytes :
          {std::string("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), std::string(5000, '\xff'),
-          std::string(5000, '\0'), hello, writeFrame(frameOf(FrameType::Applied), false),
-          writeFrame(frameOf(FrameType::Hello, "\xa0"), false), writeFrame(frameOf(FrameType{77}), false)}) {
+          std::string(5000, '\0'), hello, encodeFrame(frameOf(FrameType::Applied), false),
+          encodeFrame(frameOf(FrameType::Hello, "\xa0"), false),
+          encodeFrame(frameOf(FrameType{77}), false)}) {
         Client stranger(*this, 9, "a");
         stranger.end = std::make_shared<End>(*this);
         stranger.say(bytes);
@@ -729,7 +738,7 @@
     EXPECT_TRUE(same(well, 0));
     EXPECT_EQ(planner.in.size(), 1U);
     // One who has joined may say what a later version knows; it is let pass.
-    well.say(writeFrame(frameOf(FrameType{77}), false));
+    well.say(encodeFrame(frameOf(FrameType{77}), false));
     EXPECT_TRUE(planner.in.contains({3}));
     well.say(std::string(5000, '\xff'));
     EXPECT_FALSE(planner.in.contains({3}));
@@ -770,8 +779,8 @@
     batch([&] { line(0, 2, 1); });
     settle();
     EXPECT_TRUE(same(one, 0));
-    const auto picks = one.replica().picks(*one.table(), now);
-    EXPECT_TRUE(std::ranges::any_of(picks, [](const auto& pick) { return pick.first == "s-2"; }));
+    const auto picks = one.replica().eligibleEndpoints(*one.table(), now);
+    EXPECT_TRUE(std::ranges::any_of(picks, [](const auto& pick) { return pick.endpoint == "s-2"; }));
 }
 
 /// Any interleaving of changes, cuts, stalls, slow reads, asks, restarts and time ends with every replica equal
@@ -809,7 +818,7 @@
         case 9: {
             Frame ask{FrameType::Ask};
             ask.topic = {static_cast<std::uint16_t>(any(3))}, ask.epoch = yard.hub->epoch();
-            one.say(writeFrame(ask, false));
+            one.say(encodeFrame(ask, false));
             break;
         }
         case 10: yard.settle(); break;
@@ -827,7 +836,7 @@
         RC_ASSERT(yard.same(
             *one, &one - yard.clients.data() < 12 && (&one - yard.clients.data()) % 3 == 0 ? 1 : 0));
     RC_ASSERT(yard.broken.empty());
-    RC_ASSERT(yard.hub->pacing().lines() == 0U);
+    RC_ASSERT(yard.hub->flowControl().lines() == 0U);
 }
 
 } // namespace
