--- a/bench/pubsub_planner_side.h
+++ b/bench/pubsub_planner_side.h
@@ -64,7 +64,7 @@
     net::UpdateQueue updateQueue{routingState, names, counters};
     ScriptedPlanner planner{routingState};
     net::BatchRunner batchRunner{io, planner, routingState, counters, Micros{}};
-    net::InputTranslator inputTranslator{batchRunner, routingState, updateQueue, names, counters, proxies};
+    net::InputTranslator inputTranslator{batchRunner, updateQueue, names, counters, proxies};
     net::SessionAcceptor sessionAcceptor{inputTranslator, counters, bufferPool};
 
 private:
--- a/tests/digest_pubsub.cpp
+++ b/tests/digest_pubsub.cpp
@@ -42,155 +42,156 @@
 class PubsubDay {
 public:
     explicit PubsubDay(std::uint64_t seed) : numbers_(seed) {
-        yard_.pace.maxLinesPerSubscriber = numbers_.oneOf({20U, 100U, 300U});
-        yard_.pace.maxQueuedLines = numbers_.oneOf({150.0, 600.0, 4000.0});
-        yard_.tombstones = numbers_.oneOf({2U, 10U, 50U});
-        yard_.hub.reset();
-        yard_.open();
-        yard_.onBytes = [this](std::size_t stream, Yard::Direction direction, std::string_view bytes) {
-            record(stream, direction, bytes);
-        };
-        servers_ = static_cast<int>(numbers_.between(10, 60));
+        harness_.flowControlLimits.maxLinesPerSubscriber = numbers_.oneOf({20U, 100U, 300U});
+        harness_.flowControlLimits.maxQueuedLines = numbers_.oneOf({150.0, 600.0, 4000.0});
+        harness_.maxTombstones = numbers_.oneOf({2U, 10U, 50U});
+        harness_.server.reset();
+        harness_.startServer();
+        harness_.onBytes = [this](std::size_t connection, PubsubHarness::Direction direction,
+                                  std::string_view bytes) { record(connection, direction, bytes); };
+        endpointCount_ = static_cast<int>(numbers_.between(10, 60));
     }
     RecordedDay play() {
-        yard_.batch([this] {
-            for (int server = 0; server < servers_; ++server) setLine(server);
+        harness_.runBatch([this] {
+            for (int endpoint = 0; endpoint < endpointCount_; ++endpoint) setWeight(endpoint);
         });
         for (auto count = numbers_.between(4, 16); count > 0; --count) addClient();
-        for (int step = 0; step < kSteps; ++step) happen();
-        for (auto& client : yard_.clients) client->stalled = false;
-        yard_.settle();
+        for (int step = 0; step < kSteps; ++step) performRandomStep();
+        for (auto& client : harness_.clients) client->isStalled = false;
+        harness_.runUntilQuiet();
         return std::move(day_);
     }
 
 private:
-    void record(std::size_t stream, Yard::Direction direction, std::string_view bytes) {
-        const bool isTo = direction == Yard::Direction::ToSubscriber;
+    void record(std::size_t connection, PubsubHarness::Direction direction, std::string_view bytes) {
+        const bool isTo = direction == PubsubHarness::Direction::ToSubscriber;
         while (bytes.size() >= pubsub::kHeaderBytes) {
             const std::size_t size = kLengthBytes + bigEndianAt(bytes, 0);
             if (size < pubsub::kHeaderBytes || size > bytes.size()) break;
-            recordFrame(stream, isTo, comparableFrame(bytes.substr(0, size)));
+            recordFrame(connection, isTo, comparableFrame(bytes.substr(0, size)));
             bytes.remove_prefix(size);
         }
-        if (!bytes.empty()) recordFrame(stream, isTo, hexText(bytes)); // no whole frame
+        if (!bytes.empty()) recordFrame(connection, isTo, hexText(bytes)); // no whole frame
     }
-    void recordFrame(std::size_t stream, bool isTo, const std::string& text) {
+    void recordFrame(std::size_t connection, bool isTo, const std::string& text) {
         ++day_.coverage[isTo ? "frames to subscribers" : "frames from subscribers"];
-        day_.events.push_back(eventText(yard_.now, isTo ? "to" : "from",
-                                        {{"stream", std::to_string(stream)}, {"bytes", text}}));
+        day_.events.push_back(eventText(harness_.now, isTo ? "to" : "from",
+                                        {{"stream", std::to_string(connection)}, {"bytes", text}}));
     }
-    /// Every fourth only watches.
+    /// Every fourth is an observer.
     void addClient() {
         const auto proxy = nextProxy_++;
-        const bool watches = numbers_.chance(0.25);
-        yard_.add(watches ? std::nullopt : std::optional(proxy), numbers_.chance(0.6) ? "a" : "b");
+        const bool isObserver = numbers_.chance(0.25);
+        harness_.addClient(isObserver ? std::nullopt : std::optional(proxy),
+                           numbers_.chance(0.6) ? "a" : "b");
     }
-    /// A second stream of the newest proxy comes up while the first still stands, and takes its place.
-    void replaceStream() {
+    /// A second session of the newest proxy starts while the first is still open, and replaces it.
+    void replaceSession() {
         ++day_.coverage["streams replaced"];
         const auto proxy = nextProxy_++;
-        Yard::Client& older = yard_.add(proxy);
-        yard_.batch();
-        older.read(numbers_.between(1, 2000));
-        yard_.add(proxy);
-        const bool dialsAgain = false;
-        older.read(1 << 20, dialsAgain);
-        older.cut();
-        std::erase_if(yard_.clients, [&](const auto& client) { return client.get() == &older; });
-    }
-    Yard::Client& anyClient() { return *yard_.clients[numbers_.below(yard_.clients.size())]; }
-    int anyServer() { return static_cast<int>(numbers_.below(static_cast<std::uint64_t>(servers_))); }
-    void setLine(int server) {
+        PubsubHarness::Client& older = harness_.addClient(proxy);
+        harness_.runBatch();
+        older.receive(numbers_.between(1, 2000));
+        harness_.addClient(proxy);
+        const bool reconnects = false;
+        older.receive(PubsubHarness::kReadAll, reconnects);
+        older.disconnect();
+        std::erase_if(harness_.clients, [&](const auto& client) { return client.get() == &older; });
+    }
+    PubsubHarness::Client& anyClient() { return *harness_.clients[numbers_.below(harness_.clients.size())]; }
+    int anyEndpoint() { return static_cast<int>(numbers_.below(static_cast<std::uint64_t>(endpointCount_))); }
+    void setWeight(int endpoint) {
         const double weight = numbers_.chance(0.15) ? 0 : static_cast<double>(numbers_.between(1, 9)) / 4;
-        yard_.line(numbers_.below(Yard::kZones), server, weight);
+        harness_.setWeight(numbers_.below(PubsubHarness::kZones), endpoint, weight);
     }
 
-    void happen() {
+    void performRandomStep() {
         switch (numbers_.below(16)) {
         case 0:
-        case 1: changeLines(numbers_.between(1, 3)); break;
-        case 2: changeLines(numbers_.between(20, 80)); break;
-        case 3: changeWithdrawn(); break;
-        case 4: changeLevel(); break;
-        case 5: anyClient().stalled ^= true; break;
-        case 6: anyClient().cut(); break;
-        case 7: anyClient().dial(); break;
-        case 8: numbers_.chance(0.5) ? addClient() : replaceStream(); break;
-        case 9: reportUsage(); break;
-        case 10: askForSnapshot(); break;
-        case 11: readLittle(); break;
+        case 1: changeWeights(numbers_.between(1, 3)); break;
+        case 2: changeWeights(numbers_.between(20, 80)); break;
+        case 3: changeExclusions(); break;
+        case 4: changeAdmission(); break;
+        case 5: anyClient().isStalled ^= true; break;
+        case 6: anyClient().disconnect(); break;
+        case 7: anyClient().connect(); break;
+        case 8: numbers_.chance(0.5) ? addClient() : replaceSession(); break;
+        case 9: reportDemand(); break;
+        case 10: requestSnapshot(); break;
+        case 11: readSlowly(); break;
         case 12: passSeconds(); break;
-        case 13: yard_.settle(); break;
-        case 14: switchOffAndOn(); break;
+        case 13: harness_.runUntilQuiet(); break;
+        case 14: suspendAndResume(); break;
         default:
             if (numbers_.chance(0.5)) restart();
         }
-        if (numbers_.chance(0.5)) yard_.batch();
-        if (numbers_.chance(0.5)) yard_.second();
+        if (numbers_.chance(0.5)) harness_.runBatch();
+        if (numbers_.chance(0.5)) harness_.runOneSecond();
     }
-    void changeLines(std::uint64_t count) {
+    void changeWeights(std::uint64_t count) {
         ++day_.coverage["batches of changed lines"];
-        yard_.batch([&] {
-            for (std::uint64_t k = 0; k < count; ++k) setLine(anyServer());
+        harness_.runBatch([&] {
+            for (std::uint64_t k = 0; k < count; ++k) setWeight(anyEndpoint());
         });
     }
-    void changeWithdrawn() {
+    void changeExclusions() {
         ++day_.coverage["withdrawals changed"];
-        yard_.batch([&] {
+        harness_.runBatch([&] {
             for (auto count = numbers_.between(1, 3); count > 0; --count) {
-                const int server = anyServer();
-                const bool out = yard_.book.excludedEndpoints().contains(yard_.server(server));
-                yard_.withdraw(server, !out);
+                const int endpoint = anyEndpoint();
+                const bool isExcluded =
+                    harness_.routingState.excludedEndpoints().contains(harness_.endpoint(endpoint));
+                harness_.setExcluded(endpoint, !isExcluded);
             }
         });
     }
-    void changeLevel() {
-        yard_.batch([&] {
-            const auto products = static_cast<RequestClassSet>(numbers_.between(1, 3));
+    void changeAdmission() {
+        harness_.runBatch([&] {
+            const auto requestClasses = static_cast<RequestClassSet>(numbers_.between(1, 3));
             std::optional<TableId> table;
-            if (numbers_.chance(0.8)) table = Yard::tableOf(numbers_.below(Yard::kZones));
-            const auto tries = static_cast<RetryPolicy>(numbers_.below(4));
-            yard_.book.setAdmission(table, products, numbers_.share(), tries);
+            if (numbers_.chance(0.8)) table = PubsubHarness::tableOf(numbers_.below(PubsubHarness::kZones));
+            const auto retryPolicy = static_cast<RetryPolicy>(numbers_.below(4));
+            harness_.routingState.setAdmission(table, requestClasses, numbers_.share(), retryPolicy);
         });
     }
-    void reportUsage() {
-        Yard::Client& client = anyClient();
+    void reportDemand() {
+        PubsubHarness::Client& client = anyClient();
         if (client.subscription.state() != client::Subscription::State::Live) return;
-        client.say(
+        client.send(
             client.subscription.encodeDemand("order", static_cast<std::uint32_t>(numbers_.below(50)), 2, 1s));
     }
-    void askForSnapshot() {
+    void requestSnapshot() {
         pubsub::Frame ask{pubsub::FrameType::Ask};
-        ask.topic = pubsub::topicOf(Yard::tableOf(numbers_.below(Yard::kZones)));
-        ask.epoch = yard_.hub->epoch();
-        anyClient().say(pubsub::encodeFrame(ask, false));
+        ask.topic = pubsub::topicOf(PubsubHarness::tableOf(numbers_.below(PubsubHarness::kZones)));
+        ask.epoch = harness_.server->epoch();
+        anyClient().send(pubsub::encodeFrame(ask, false));
     }
-    void readLittle() {
-        for (auto& client : yard_.clients)
-            if (numbers_.chance(0.5)) client->read(numbers_.between(1, 900));
+    void readSlowly() {
+        for (auto& client : harness_.clients)
+            if (numbers_.chance(0.5)) client->receive(numbers_.between(1, 900));
     }
     void passSeconds() {
         const bool isReading = numbers_.chance(0.7);
-        for (auto count = numbers_.between(1, 4); count > 0; --count) yard_.second(isReading);
+        for (auto count = numbers_.between(1, 4); count > 0; --count) harness_.runOneSecond(isReading);
     }
-    void switchOffAndOn() {
+    void suspendAndResume() {
         ++day_.coverage["switched off"];
-        yard_.hub->suspend();
-        yard_.second();
-        yard_.hub->resume();
-        yard_.second();
+        harness_.server->suspend();
+        harness_.runOneSecond();
+        harness_.server->resume();
+        harness_.runOneSecond();
     }
     void restart() {
         ++day_.coverage["planner restarts"];
-        yard_.restart();
-        for (auto& client : yard_.clients)
-            if (numbers_.chance(0.9)) client->dial();
+        harness_.restart();
+        for (auto& client : harness_.clients)
+            if (numbers_.chance(0.9)) client->connect();
     }
 
     SeededNumbers numbers_;
     RecordedDay day_;
-    Yard yard_;
-    int servers_ = 0;
+    PubsubHarness harness_;
+    int endpointCount_ = 0;
     std::uint16_t nextProxy_ = 0;
 };
 
--- /dev/null
+++ b/tests/pubsub_entries.h
@@ -0,0 +1,40 @@
+// Entries and frames of the pub-sub channel, in short form for tests.
+#pragma once
+
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "pubsub/frame.h"
+#include "pubsub/topic_log.h"
+
+namespace zincstack::tests {
+
+using Weights = std::map<std::string, double>;
+
+/// The weight of the endpoint with that number; 0 removes it.
+inline pubsub::Entry weightEntry(int number, double weight) {
+    return {{pubsub::Key::Kind::Weight, "s-" + std::to_string(number)}, {weight, {}}};
+}
+
+inline void applyTo(Weights& weights, const std::vector<pubsub::Entry>& entries) {
+    for (const auto& [key, value] : entries)
+        if (value.number > 0)
+            weights[key.name] = value.number;
+        else
+            weights.erase(key.name);
+}
+
+/// A frame whose header fields all have a value of their own.
+inline pubsub::Frame frameOf(pubsub::FrameType type, std::string body = {}) {
+    pubsub::Frame frame{type};
+    frame.topic = {3};
+    frame.epoch = {7};
+    frame.sequence = {9};
+    frame.since = {8};
+    frame.body = std::move(body);
+    return frame;
+}
+
+} // namespace zincstack::tests
--- a/tests/pubsub_harness.h
+++ b/tests/pubsub_harness.h
@@ -1,15 +1,16 @@
-// A planner's channel without sockets: the order book, the hub and any number of front ends on pipes that a test
-// can cut, stall and starve, under a clock that the test moves. Rules are looked at after every step.
+// A planner's pub-sub channel without sockets: routing state, server and any number of clients on in-memory connections
+// that a test can cut, stall and slow down, under a clock that the test moves. Invariants are checked after every step.
 #pragma once
 
 #include <algorithm>
-#include <deque>
 #include <functional>
 #include <map>
 #include <memory>
 #include <optional>
 #include <set>
 #include <string>
+#include <string_view>
+#include <utility>
 #include <vector>
 
 #include "client/subscription.h"
@@ -19,242 +20,261 @@
 
 using namespace std::chrono_literals;
 
-/// Binds whoever joins to the table of its zone and closes every batch with a mark, as the module does.
-struct SmallPlanner : Planner {
-    std::map<ProxyId, ZoneId> unbound;
-    std::set<ProxyId> in;
-    std::vector<BarrierId> applications;
-    std::vector<std::string> seen;
+/// Assigns every proxy that joins to the table of its zone, and records what it is told.
+struct ZoneTablePlanner : Planner {
+    std::map<ProxyId, ZoneId> unassigned;
+    std::set<ProxyId> joined;
+    std::vector<BarrierId> acknowledgedBarriers;
+    std::vector<std::string> inputs;
+
     void beginBatch(Micros) override {}
     void updateEndpoints(EndpointListUpdate, std::span<const EndpointUpdate>) override {}
-    void proxyJoined(ProxyId proxy, ZoneId zone, double, bool fresh) override {
-        unbound[proxy] = zone;
-        in.insert(proxy);
-        seen.push_back("joined " + std::to_string(proxy.value) + (fresh ? " fresh" : ""));
+    void proxyJoined(ProxyId proxy, ZoneId zone, double, bool onlyBootstrapTable) override {
+        unassigned[proxy] = zone;
+        joined.insert(proxy);
+        inputs.push_back("joined " + std::to_string(proxy.value) + (onlyBootstrapTable ? " fresh" : ""));
     }
     void proxyLeft(ProxyId proxy) override {
-        unbound.erase(proxy);
-        in.erase(proxy);
-        seen.push_back("left " + std::to_string(proxy.value));
+        unassigned.erase(proxy);
+        joined.erase(proxy);
+        inputs.push_back("left " + std::to_string(proxy.value));
     }
     void reportLoad(const EndpointLoadReport&) override {}
-    void reportDemand(const DemandReport& line) override {
-        seen.push_back("usage " + std::to_string(line.requestClass.value) + " " +
-                       std::to_string(line.requests));
+    void reportDemand(const DemandReport& demand) override {
+        inputs.push_back("usage " + std::to_string(demand.requestClass.value) + " " +
+                         std::to_string(demand.requests));
     }
-    void barrierAcknowledged(ProxyId, BarrierId mark) override { applications.push_back(mark); }
+    void barrierAcknowledged(ProxyId, BarrierId barrier) override { acknowledgedBarriers.push_back(barrier); }
     void probeCompleted(const ProbeResult&) override {}
     void timerExpired() override {}
     void decide() override {}
 };
 
-struct Yard {
+struct PubsubHarness {
     static constexpr std::size_t kZones = 2;
+    static constexpr std::size_t kMaxQueuedBytes = 64 * 1024; ///< of one connection
+    static constexpr std::size_t kReadAll = 1 << 20;
+    static constexpr std::uint32_t kProxyCount = 2000;
+
     Micros now{1h};
     net::Counters counters;
     net::NameRegistry names{{"lookup", "order"}, {"a", "b"}};
-    SmallPlanner planner;
-    routing::RoutingState book{names, counters, [](EndpointId) {}, [](Micros) {}};
-    pubsub::FlowControlLimits pace{
+    ZoneTablePlanner planner;
+    routing::RoutingState routingState{names, counters, [](EndpointId) {}, [](Micros) {}};
+    pubsub::FlowControlLimits flowControlLimits{
         .maxLinesPerSubscriber = 300, .maxBytesPerSubscriber = 16 * 1024, .maxQueuedLines = 4000};
     pubsub::LeaseConfig leases{};
-    std::uint64_t life = 1;
-    std::size_t tombstones = 50;
-    std::unique_ptr<pubsub::SubscriptionServer> hub;
-    std::uint16_t marks = 0;
-    std::vector<std::string> broken;
-    std::map<std::string, pubsub::Sequence> outAt; // withdrawn servers: since which sequence of this life
+    std::uint64_t incarnation = 1;
+    std::size_t maxTombstones = 50;
+    std::unique_ptr<pubsub::SubscriptionServer> server;
+    std::uint16_t lastBarrier = 0;
+    std::vector<std::string> violations;
+    /// Excluded endpoints, and the sequence of this incarnation from which on each is excluded.
+    std::map<std::string, pubsub::Sequence> excludedSince;
     enum class Direction { ToSubscriber, FromSubscriber };
-    /// Called with everything that is written to a stream by either side, if it is set. Streams are numbered in
-    /// the order in which they were opened.
-    std::function<void(std::size_t stream, Direction, std::string_view bytes)> onBytes;
-    std::size_t streamsOpened = 0;
+    /// Called with everything that is written to a connection by either side, if it is set. Connections are numbered
+    /// in the order in which they were opened.
+    std::function<void(std::size_t connection, Direction, std::string_view bytes)> onBytes;
+    std::size_t connectionsOpened = 0;
 
-    Yard() { open(); }
-    ~Yard() {
-        for (auto& one : ends) one->gone();
+    PubsubHarness() { startServer(); }
+    ~PubsubHarness() {
+        for (auto& connection : connections) connection->end();
     }
-    void open() {
-        hub = std::make_unique<pubsub::SubscriptionServer>(
-            book, names, counters,
-            pubsub::ServerConfig{"n1", pubsub::Epoch{life}, 2000, pace, leases, tombstones},
-            [this]() -> Planner& { return planner; }, [this] { return now; });
+    void startServer() {
+        const pubsub::ServerConfig config{
+            "n1", pubsub::Epoch{incarnation}, kProxyCount, flowControlLimits, leases, maxTombstones};
+        server = std::make_unique<pubsub::SubscriptionServer>(
+            routingState, names, counters, config, [this]() -> Planner& { return planner; },
+            [this] { return now; });
     }
 
-    /// One stream: what the planner wrote and the front end has not read, and the other way.
-    struct End : pubsub::FrameTarget {
-        explicit End(Yard& its)
-            : yard(its), number(its.streamsOpened++), subscriber(&its.hub->sessionOpened(*this)) {}
+    /// One connection: what the server has written and the client has not read, and the other way.
+    struct Connection : pubsub::FrameTarget {
+        explicit Connection(PubsubHarness& owner)
+            : harness(owner), number(owner.connectionsOpened++),
+              subscriber(&owner.server->sessionOpened(*this)) {}
         bool push(const pubsub::SharedFrame& frame) override {
-            if (!up) return true;
-            if (toClient.size() > most) return false;
-            if (yard.onBytes) yard.onBytes(number, Direction::ToSubscriber, *frame);
+            if (!isOpen) return true;
+            if (toClient.size() > kMaxQueuedBytes) return false;
+            if (harness.onBytes) harness.onBytes(number, Direction::ToSubscriber, *frame);
             toClient += *frame;
             return true;
         }
-        void close(std::string words) override {
-            if (up && yard.onBytes) yard.onBytes(number, Direction::ToSubscriber, words);
-            if (up) toClient += words;
-            up = false;
+        void close(std::string farewell) override {
+            if (isOpen && harness.onBytes) harness.onBytes(number, Direction::ToSubscriber, farewell);
+            if (isOpen) toClient += farewell;
+            isOpen = false;
         }
-        void gone() {
-            up = false;
-            if (subscriber) yard.hub->sessionClosed(*std::exchange(subscriber, nullptr));
+        void end() {
+            isOpen = false;
+            if (subscriber) harness.server->sessionClosed(*std::exchange(subscriber, nullptr));
         }
-        Yard& yard;
+        PubsubHarness& harness;
         std::size_t number;
         std::string toClient;
-        std::size_t most = 64 * 1024;
-        bool up = true;
+        bool isOpen = true;
         pubsub::FrameReader reader{pubsub::kMaxClientFrameBytes};
         pubsub::Subscriber* subscriber;
     };
-    std::vector<std::shared_ptr<End>> ends;
+    std::vector<std::shared_ptr<Connection>> connections;
 
     struct Client {
-        Client(Yard& its, std::optional<std::uint16_t> proxy, std::string zone)
-            : yard(&its),
+        Client(PubsubHarness& owner, std::optional<std::uint16_t> proxy, std::string zone)
+            : harness(&owner),
               subscription({proxy ? std::optional(ProxyId{*proxy}) : std::nullopt, zone, 5}, 10s) {}
-        Yard* yard;
+        PubsubHarness* harness;
         client::Subscription subscription;
-        std::shared_ptr<End> end;
-        bool stalled = false;
+        std::shared_ptr<Connection> connection;
+        bool isStalled = false;
 
-        void dial() {
-            if (end) cut();
-            end = std::make_shared<End>(*yard);
-            yard->ends.push_back(end);
-            say(subscription.connected(yard->now));
+        void connect() {
+            if (connection) disconnect();
+            connection = std::make_shared<Connection>(*harness);
+            harness->connections.push_back(connection);
+            send(subscription.connected(harness->now));
         }
-        void cut() {
-            if (!end) return;
-            const auto old = std::exchange(end, nullptr);
-            old->gone();
-            std::erase(yard->ends, old);
+        void disconnect() {
+            if (!connection) return;
+            const auto old = std::exchange(connection, nullptr);
+            old->end();
+            std::erase(harness->connections, old);
             subscription.connectionClosed();
         }
-        void say(std::string_view bytes) {
-            if (!end || !end->subscriber) return;
-            const auto from = end;
-            if (yard->onBytes && !bytes.empty())
-                yard->onBytes(from->number, Direction::FromSubscriber, bytes);
+        void send(std::string_view bytes) {
+            if (!connection || !connection->subscriber) return;
+            const auto from = connection;
+            if (harness->onBytes && !bytes.empty())
+                harness->onBytes(from->number, Direction::FromSubscriber, bytes);
             const auto fault = from->reader.feed(bytes, [&](pubsub::Frame& frame) {
-                return from->subscriber && yard->hub->handleFrame(*from->subscriber, frame);
+                return from->subscriber && harness->server->handleFrame(*from->subscriber, frame);
             });
-            if (fault && from->subscriber) yard->hub->protocolError(*from->subscriber, *fault);
+            if (fault && from->subscriber) harness->server->protocolError(*from->subscriber, *fault);
         }
-        /// Reads at most so many bytes; dials again where the stream is spent.
-        void read(std::size_t most = 1 << 20, bool redials = true) {
-            if (!end || stalled) return;
-            const std::string got = end->toClient.substr(0, most);
-            end->toClient.erase(0, got.size());
-            say(subscription.feed(got, yard->now));
-            if (subscription.usable() && (end->up || !end->toClient.empty())) return;
-            cut();
-            if (redials) dial();
+        /// Reads at most so many bytes; reconnects where the session has ended.
+        void receive(std::size_t maxBytes = kReadAll, bool reconnects = true) {
+            if (!connection || isStalled) return;
+            const std::string received = connection->toClient.substr(0, maxBytes);
+            connection->toClient.erase(0, received.size());
+            send(subscription.feed(received, harness->now));
+            if (subscription.usable() && (connection->isOpen || !connection->toClient.empty())) return;
+            disconnect();
+            if (reconnects) connect();
         }
+        bool hasUnread() const { return connection && !connection->toClient.empty(); }
         const pubsub::Replica& replica() const { return subscription.replica(); }
         const pubsub::RoutingTable* table() const { return replica().tableOf("lookup"); }
     };
     std::vector<std::unique_ptr<Client>> clients;
 
-    Client& add(std::optional<std::uint16_t> proxy, std::string zone = "a") {
+    /// A client that has connected; without a proxy, an observer.
+    Client& addClient(std::optional<std::uint16_t> proxy, std::string zone = "a") {
         clients.push_back(std::make_unique<Client>(*this, proxy, std::move(zone)));
-        clients.back()->dial();
+        clients.back()->connect();
         return *clients.back();
     }
     static TableId tableOf(std::size_t zone) { return {static_cast<std::uint16_t>(zone)}; }
-    EndpointId server(int k) { return names.registerEndpoint("s-" + std::to_string(k)); }
-    /// One batch of the planner's: orders, those that joined bound, a mark.
-    void batch(const std::function<void()>& orders = {}) {
+    static std::string endpointName(int number) { return "s-" + std::to_string(number); }
+    EndpointId endpoint(int number) { return names.registerEndpoint(endpointName(number)); }
+    /// One batch of the planner: orders, assignment of those that joined, a barrier.
+    void runBatch(const std::function<void()>& orders = {}) {
         if (orders) orders();
-        for (const auto& [proxy, zone] : std::exchange(planner.unbound, {}))
-            book.assignTable(proxy, 0, tableOf(zone.value));
-        book.requestBarrier({++marks}, false);
-        book.flush(now);
-        check();
+        for (const auto& [proxy, zone] : std::exchange(planner.unassigned, {}))
+            routingState.assignTable(proxy, 0, tableOf(zone.value));
+        ++lastBarrier;
+        routingState.requestBarrier({lastBarrier}, false);
+        routingState.flush(now);
+        checkInvariants();
+    }
+    void setWeight(std::size_t zone, int number, double weight) {
+        routingState.setWeight(tableOf(zone), endpoint(number), weight);
     }
-    void line(std::size_t zone, int k, double weight) { book.setWeight(tableOf(zone), server(k), weight); }
-    void withdraw(int k, bool out) {
-        book.setExcluded(server(k), out);
-        if (out)
-            outAt["s-" + std::to_string(k)] = hub->log(pubsub::kExclusionsTopic)->head();
+    void setExcluded(int number, bool excluded) {
+        routingState.setExcluded(endpoint(number), excluded);
+        if (excluded)
+            excludedSince[endpointName(number)] = server->log(pubsub::kExclusionsTopic)->head();
         else
-            outAt.erase("s-" + std::to_string(k));
+            excludedSince.erase(endpointName(number));
     }
-    /// All read and answer until nothing more moves.
-    void settle() {
-        for (int turns = 0; turns < 400; ++turns) {
-            bool moved = false;
-            for (auto& one : clients) {
-                moved |= one->end && !one->end->toClient.empty() && !one->stalled;
-                one->read();
+    /// Every client reads and acknowledges until nothing is left to read.
+    void runUntilQuiet() {
+        constexpr int kMaxRounds = 400;
+        for (int round = 0; round < kMaxRounds; ++round) {
+            bool hasProgress = false;
+            for (auto& client : clients) {
+                hasProgress |= client->hasUnread() && !client->isStalled;
+                client->receive();
             }
-            book.flush(now);
-            check();
-            if (!moved) return;
+            routingState.flush(now);
+            checkInvariants();
+            if (!hasProgress) return;
         }
-        broken.emplace_back("nothing settles");
+        violations.emplace_back("nothing settles");
     }
-    /// A second passes: beats, leases, stalls.
-    void second(bool reading = true) {
+    /// A second passes: heartbeats, leases, acknowledgment timeouts.
+    void runOneSecond(bool isReading = true) {
         for (std::uint32_t k = 0; k < pubsub::SubscriptionServer::kTicksPerHeartbeat; ++k) {
             now += 100ms;
-            hub->tick();
-            for (auto& one : clients) {
-                one->say(one->subscription.tick(now));
-                if (reading) one->read();
+            server->tick();
+            for (auto& client : clients) {
+                client->send(client->subscription.tick(now));
+                if (isReading) client->receive();
             }
         }
-        check();
+        checkInvariants();
     }
-    /// The planner is killed; another life begins with the same tables, or with none.
+    /// The planner is killed; another incarnation starts with the same tables and no exclusions.
     void restart() {
-        for (auto& one : clients) one->cut();
-        for (auto& one : std::exchange(ends, {})) one->gone();
-        hub.reset();
-        ++life;
-        outAt.clear();
-        for (const auto& server : std::set(book.excludedEndpoints())) book.setExcluded(server, false);
-        open();
+        for (auto& client : clients) client->disconnect();
+        for (auto& connection : std::exchange(connections, {})) connection->end();
+        server.reset();
+        ++incarnation;
+        excludedSince.clear();
+        for (const auto& excluded : std::set(routingState.excludedEndpoints()))
+            routingState.setExcluded(excluded, false);
+        startServer();
     }
 
-    std::map<std::string, double> ordered(std::size_t zone) const {
-        std::map<std::string, double> out;
-        if (const auto at = book.tables().find(tableOf(zone)); at != book.tables().end())
-            for (const auto& [server, weight] : at->second.weights) out[names.nameOf(server)] = weight;
-        return out;
+    std::map<std::string, double> expectedWeights(std::size_t zone) const {
+        std::map<std::string, double> expected;
+        const auto found = routingState.tables().find(tableOf(zone));
+        if (found == routingState.tables().end()) return expected;
+        for (const auto& [endpointId, weight] : found->second.weights)
+            expected[names.nameOf(endpointId)] = weight;
+        return expected;
     }
-    bool same(const Client& one, std::size_t zone) const {
-        const auto* table = one.table();
-        const auto wanted = ordered(zone);
-        if (!table || table->weights != wanted) return false;
-        for (const auto& [server, weight] : wanted)
-            if (one.replica().isExcluded(server, now) !=
-                book.excludedEndpoints().contains(*names.endpoint(server)))
-                return false;
-        return true;
+    /// Whether the client has exactly the zone's table and knows which of its endpoints are excluded.
+    bool isUpToDate(const Client& client, std::size_t zone) const {
+        const auto* table = client.table();
+        const auto expected = expectedWeights(zone);
+        if (!table || table->weights != expected) return false;
+        return std::ranges::all_of(expected, [&](const auto& item) {
+            const bool isExcluded = routingState.excludedEndpoints().contains(*names.endpoint(item.first));
+            return client.replica().isExcluded(item.first, now) == isExcluded;
+        });
     }
-    void expect(bool holds, const char* what) {
-        if (!holds) broken.emplace_back(what);
+    void expect(bool holds, const char* violation) {
+        if (!holds) violations.emplace_back(violation);
     }
-    void check() {
-        const auto& pacing = hub->flowControl();
-        expect(static_cast<double>(pacing.lines() + book.unacknowledgedLines()) <= 0.95 * pace.maxQueuedLines,
+    void checkInvariants() {
+        const std::size_t lines = server->flowControl().lines() + routingState.unacknowledgedLines();
+        expect(static_cast<double>(lines) <= 0.95 * flowControlLimits.maxQueuedLines,
                "short queue: too many lines wait");
-        for (const auto& one : ends)
-            expect(one->toClient.size() <= 3 * pace.maxBytesPerSubscriber + 4096,
+        for (const auto& connection : connections)
+            expect(connection->toClient.size() <= 3 * flowControlLimits.maxBytesPerSubscriber + 4096,
                    "too much waits for one subscriber");
-        for (const auto& one : clients) {
-            if (one->replica().epoch() != hub->epoch()) continue;
-            const auto known = one->replica().at(pubsub::kExclusionsTopic);
-            for (const auto& [topic, table] : one->replica().tables())
-                for (const auto& [server, weight] : one->replica().eligibleEndpoints(table, now)) {
-                    const auto out = outAt.find(server);
-                    expect(out == outAt.end() || !known || *known < out->second,
-                           "drains kept: a server is picked that is known to be withdrawn");
-                }
-        }
+        for (const auto& client : clients)
+            if (client->replica().epoch() == server->epoch()) checkExclusions(client->replica());
+    }
+    /// No endpoint may be used that the replica knows to be excluded.
+    void checkExclusions(const pubsub::Replica& replica) {
+        const auto known = replica.at(pubsub::kExclusionsTopic);
+        for (const auto& [topic, table] : replica.tables())
+            for (const auto& [name, weight] : replica.eligibleEndpoints(table, now)) {
+                const auto excluded = excludedSince.find(name);
+                expect(excluded == excludedSince.end() || !known || *known < excluded->second,
+                       "drains kept: a server is picked that is known to be withdrawn");
+            }
     }
 };
 
