--- a/src/planner/subset_tables.h
+++ b/src/planner/subset_tables.h
@@ -15,37 +15,37 @@
 
 namespace zincstack {
 
-class StarterTables {
+class SubsetTables {
 public:
     /// `rows`: servers in each; as many as a proxy's standing table may have. `tables` holds the whole tables first;
     /// starter tables are added behind them as they are needed.
-    StarterTables(std::vector<Table>& tables, Proxies& proxies, Servers& servers, std::size_t rows,
-                  std::uint32_t seed)
-        : tables_(tables), proxies_(proxies), servers_(servers), rows_(rows), chance_(seed) {}
+    SubsetTables(std::vector<PlannedTable>& tables, ProxyRegistry& proxies, EndpointRegistry& servers,
+                 std::size_t rows, std::uint32_t seed)
+        : tables_(tables), proxies_(proxies), endpoints_(servers), endpointsPerTable_(rows), random_(seed) {}
 
-    struct Row {
+    struct TableEndpoint {
         EndpointIndex table;
-        EndpointIndex server;
+        EndpointIndex endpoint;
     };
     /// Deals the servers out over those tables of a whole table that no proxy holds, which are empty. `usable` are
     /// servers that may get their full part at once. Returns the rows that have to be added.
-    std::vector<Row> deal(EndpointIndex whole, const std::vector<EndpointIndex>& usable);
+    std::vector<TableEndpoint> distribute(EndpointIndex whole, const std::vector<EndpointIndex>& usable);
     /// Tables with too few servers left, and the servers that they get in addition.
-    std::vector<Row> refill(EndpointIndex whole, const std::vector<EndpointIndex>& usable);
+    std::vector<TableEndpoint> refill(EndpointIndex whole, const std::vector<EndpointIndex>& usable);
     /// The starter table of a whole table on which a proxy of that rate weighs least; none where there is none.
     std::optional<EndpointIndex> assign(EndpointIndex whole, double rate);
     /// Counts anew which starter tables are held, and by how much traffic.
-    void count();
+    void recount();
 
 private:
-    bool holdsEnough(const Table& table) const;
-    std::vector<EndpointIndex> startersOf(EndpointIndex whole) const;
-
-    std::vector<Table>& tables_;
-    Proxies& proxies_;
-    Servers& servers_;
-    const std::size_t rows_;
-    std::mt19937 chance_;
+    bool hasEnoughEndpoints(const PlannedTable& table) const;
+    std::vector<EndpointIndex> subsetsOf(EndpointIndex whole) const;
+
+    std::vector<PlannedTable>& tables_;
+    ProxyRegistry& proxies_;
+    EndpointRegistry& endpoints_;
+    const std::size_t endpointsPerTable_;
+    std::mt19937 random_;
 };
 
 } // namespace zincstack
