--- a/src/planner/subset_tables.h
+++ b/src/planner/subset_tables.h
@@ -10,8 +10,8 @@
 #include <random>
 #include <vector>
 
+#include "planner/planned_table.h"
 #include "planner/planner.h"
-#include "planner/state.h"
 
 namespace zincstack {
 
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-#include "planner/state.h"
+#include "planner/planned_table.h"
 #include "proxy_model.h"
 
 namespace zincstack::tests {
