--- a/src/command/run.cpp
+++ b/src/command/run.cpp
@@ -133,8 +133,8 @@
         names, counters, [&](EndpointId server) { probes->probe(server); },
         [&](Micros span) { wakes->scheduleWakeUp(span); }, start.channel);
     net::UpdateQueue outbox(book, names, counters);
-    const auto planner = makePlanner(station.seed, start.fleet, start.forwarders, start.channel, start.guards,
-                                     start.products, book);
+    const auto planner = makePlanner(
+        {station.seed, start.fleet, start.forwarders, start.channel, start.guards, start.products}, book);
     net::BatchRunner engine(io, *planner, book, counters, start.tick);
     wakes = &engine;
     net::InputTranslator intake(engine, outbox, names, counters, start.forwarders.proxyCount);
--- a/src/planner/channel_credit.cpp
+++ b/src/planner/channel_credit.cpp
@@ -1,6 +1,7 @@
 #include "planner/channel_credit.h"
 
 #include <algorithm>
+#include <cstddef>
 #include <utility>
 
 namespace zincstack {
@@ -9,43 +10,46 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kUnansweredMost = 1024; // messages to one proxy
-constexpr std::size_t kOverdueMost = 4;       // messages to one proxy that stands still
-constexpr Micros kAnswerSlack = 1s;  // beyond the longest way of a message, before an answer is overdue
-constexpr Micros kSilentAfter = 10s; // overdue for so long: the stream is taken to be dead
-constexpr Micros kSweepEvery = 1s;
+/// Unacknowledged messages to one proxy, at most: a bound on memory.
+constexpr std::size_t kMaxUnacknowledged = 1024;
+/// The same while the proxy stalls: what is not written merges with later updates.
+constexpr std::size_t kMaxUnacknowledgedWhileStalled = 4;
+/// Beyond the worst transit there and back, before a proxy that owes an acknowledgement counts as stalled.
+constexpr Micros kAckSlack = 1s;
+/// Overdue for so long: the stream counts as dead.
+constexpr Micros kSilenceTimeout = 10s;
+constexpr Micros kSilenceCheckInterval = 1s;
 
 } // namespace
 
-ChannelCredit::Admission ChannelCredit::check(ProxyId proxy, double lines, Urgency urgency, double elsewhere,
-                                              Micros now) const {
+ChannelCredit::Admission ChannelCredit::check(ProxyId proxy, double lines, Urgency urgency,
+                                              double otherTransportLines, Micros now) const {
     const auto found = streams_.find(proxy);
     if (found == streams_.end() || mustWait(found->second, urgency, now)) return Admission::ProxyBlocked;
-    if (terms_.maxQueuedLines <= 0) return Admission::Granted;
-    const double share = urgency == Urgency::Deadline ? kDeadlineQueueFraction : kOrdinaryQueueFraction;
-    const double after = waiting_ + elsewhere + lines;
-    if (after <= share * terms_.maxQueuedLines) return Admission::Granted;
-    // Guards against a queue that is full of what ended streams were written: only the answer to a later message
-    // proves that it has left, so one message at a time goes into the reserve. So does one that is too large otherwise.
-    const bool proves = awaited_ == 0 && after <= terms_.maxQueuedLines;
-    return proves ? Admission::Granted : Admission::QueueFull;
+    if (limits_.maxQueuedLines <= 0) return Admission::Granted;
+    const double fraction = urgency == Urgency::Deadline ? kDeadlineQueueFraction : kOrdinaryQueueFraction;
+    const double linesAfter = unacknowledgedLines_ + otherTransportLines + lines;
+    if (linesAfter <= fraction * limits_.maxQueuedLines) return Admission::Granted;
+    // The queue may be full of what ended streams were written, and only the acknowledgement of a later message proves
+    // that this has left. So one message at a time may use the reserve; also one that is too large otherwise.
+    const bool mayUseReserve = awaitedMessages_ == 0 && linesAfter <= limits_.maxQueuedLines;
+    return mayUseReserve ? Admission::Granted : Admission::QueueFull;
 }
 
-/// A proxy is written no more messages within the span than the settings allow, and little while it stands still:
-/// what is not written merges meanwhile.
+/// A proxy is written no more messages within the window than the limits allow, and few while it stalls.
 bool ChannelCredit::mustWait(const Stream& stream, Urgency urgency, Micros now) const {
-    const auto recent =
-        std::ranges::count_if(stream.writtenAt, [&](Micros at) { return now - at <= terms_.messageWindow; });
-    if (terms_.maxMessagesPerProxy > 0 && recent >= static_cast<std::ptrdiff_t>(terms_.maxMessagesPerProxy))
-        return true;
-    if (overdue(stream) > 2 * terms_.worstTransitTime + kAnswerSlack)
-        return urgency != Urgency::Deadline || stream.unanswered.size() >= kOverdueMost;
-    return stream.unanswered.size() >= kUnansweredMost;
+    const auto recentMessages = std::ranges::count_if(
+        stream.writeTimes, [&](Micros writtenAt) { return now - writtenAt <= limits_.messageWindow; });
+    const auto maxMessages = static_cast<std::ptrdiff_t>(limits_.maxMessagesPerProxy);
+    if (maxMessages > 0 && recentMessages >= maxMessages) return true;
+    const bool isStalled = overdue(stream) > 2 * limits_.worstTransitTime + kAckSlack;
+    if (!isStalled) return stream.unacknowledged.size() >= kMaxUnacknowledged;
+    return urgency != Urgency::Deadline || stream.unacknowledged.size() >= kMaxUnacknowledgedWhileStalled;
 }
 
 Micros ChannelCredit::overdue(const Stream& stream) const {
-    if (stream.unanswered.empty()) return Micros{};
-    return std::max(newestAnsweredWrite_ - stream.unanswered.front().writtenAt, Micros{});
+    if (stream.unacknowledged.empty()) return Micros{};
+    return std::max(newestAcknowledgedWrite_ - stream.unacknowledged.front().writtenAt, Micros{});
 }
 
 void ChannelCredit::sessionOpened(ProxyId proxy) {
@@ -56,61 +60,65 @@
 void ChannelCredit::sessionEnded(ProxyId proxy) {
     const auto found = streams_.find(proxy);
     if (found == streams_.end()) return;
-    giveUp(found->second);
+    moveToEnded(found->second);
     streams_.erase(found);
 }
 
-/// Its messages are not awaited any more, but may still wait in the channel.
-void ChannelCredit::giveUp(Stream& stream) {
+/// Its acknowledgements are not awaited any more, but its messages may still be in the channel.
+void ChannelCredit::moveToEnded(Stream& stream) {
     double lines = 0;
-    for (Message& one : stream.unanswered) {
-        if (!std::exchange(one.counted, false)) continue;
-        lines += one.lines;
-        --awaited_;
+    for (Message& message : stream.unacknowledged) {
+        if (!std::exchange(message.isAwaited, false)) continue;
+        lines += message.lines;
+        --awaitedMessages_;
     }
     if (lines > 0) ended_.push_back({nextSequence_, lines});
 }
 
 void ChannelCredit::detectSilentSessions(Micros now) {
-    if (now - sweptAt_ < kSweepEvery) return;
-    sweptAt_ = now;
+    if (now - silenceCheckedAt_ < kSilenceCheckInterval) return;
+    silenceCheckedAt_ = now;
     for (auto& [proxy, stream] : streams_)
-        if (overdue(stream) > kSilentAfter) giveUp(stream);
+        if (overdue(stream) > kSilenceTimeout) moveToEnded(stream);
 }
 
-void ChannelCredit::messageWritten(ProxyId proxy, BarrierId mark, double lines, Micros now) {
+void ChannelCredit::messageWritten(ProxyId proxy, BarrierId barrier, double lines, Micros now) {
     const auto found = streams_.find(proxy);
     if (found == streams_.end()) return;
     Stream& stream = found->second;
-    stream.unanswered.push_back({nextSequence_++, mark, lines, now});
-    ++awaited_;
-    waiting_ += lines;
-    if (terms_.maxMessagesPerProxy == 0) return;
-    stream.writtenAt.push_back(now);
-    while (now - stream.writtenAt.front() > terms_.messageWindow) stream.writtenAt.pop_front();
+    stream.unacknowledged.push_back({nextSequence_++, barrier, lines, now});
+    ++awaitedMessages_;
+    unacknowledgedLines_ += lines;
+    if (limits_.maxMessagesPerProxy == 0) return;
+    stream.writeTimes.push_back(now);
+    while (now - stream.writeTimes.front() > limits_.messageWindow) stream.writeTimes.pop_front();
 }
 
-bool ChannelCredit::acknowledged(ProxyId proxy, BarrierId mark) {
-    const auto found = streams_.find(proxy);
-    if (found == streams_.end()) return false;
-    auto& messages = found->second.unanswered;
-    const auto at = std::ranges::find(messages, mark, &Message::mark);
-    if (at == messages.end()) return false;
-    const Message newest = *at;
-    newestAnsweredWrite_ = std::max(newestAnsweredWrite_, newest.writtenAt);
-    for (auto one = messages.begin(); one != at + 1; ++one) {
-        if (!one->counted) continue;
-        returned(one->lines);
-        --awaited_;
+bool ChannelCredit::acknowledged(ProxyId proxy, BarrierId barrier) {
+    const auto stream = streams_.find(proxy);
+    if (stream == streams_.end()) return false;
+    auto& messages = stream->second.unacknowledged;
+    const auto found = std::ranges::find(messages, barrier, &Message::barrier);
+    if (found == messages.end()) return false;
+    const Message newest = *found;
+    newestAcknowledgedWrite_ = std::max(newestAcknowledgedWrite_, newest.writtenAt);
+    for (auto message = messages.begin(); message != found + 1; ++message) {
+        if (!message->isAwaited) continue;
+        returnCredit(message->lines);
+        --awaitedMessages_;
     }
-    messages.erase(messages.begin(), at + 1);
+    messages.erase(messages.begin(), found + 1);
     // The channel is a queue: what entered it before this message has left it too. That is known only of streams
     // that had ended when it was written; bytes of an open one may still be on their way to the channel.
-    for (; !ended_.empty() && ended_.front().sequence <= newest.sequence; ended_.pop_front())
-        returned(ended_.front().lines);
+    while (!ended_.empty() && ended_.front().firstLaterSequence <= newest.sequence) {
+        returnCredit(ended_.front().lines);
+        ended_.pop_front();
+    }
     return true;
 }
 
-void ChannelCredit::returned(double lines) { waiting_ = std::max(waiting_ - lines, 0.0); }
+void ChannelCredit::returnCredit(double lines) {
+    unacknowledgedLines_ = std::max(unacknowledgedLines_ - lines, 0.0);
+}
 
 } // namespace zincstack
--- /dev/null
+++ b/src/planner/planned_table.cpp
@@ -0,0 +1,27 @@
+#include "planner/planned_table.h"
+
+#include <algorithm>
+
+namespace zincstack {
+
+bool PlannedTable::serves(const Proxy& proxy) const {
+    if (!subsetOf) return proxy.hasFullTable && proxy.zone == zone;
+    return std::ranges::find(proxy.subsetTables, EndpointIndex{id.value}) != proxy.subsetTables.end();
+}
+
+double PlannedTable::endpointCount() const {
+    const auto count = std::ranges::count_if(installed, [](double weight) { return weight > 0; });
+    return static_cast<double>(count);
+}
+
+double PlannedTable::demand(const ProxyRegistry& proxies) const {
+    double sum = 0;
+    for (const auto& [proxyId, proxy] : proxies) {
+        if (!serves(proxy)) continue;
+        for (EndpointIndex place = 0; place < proxy.demand.size(); ++place)
+            sum += requestClasses >> place & 1U ? proxy.demand[place] : 0;
+    }
+    return sum;
+}
+
+} // namespace zincstack
--- a/src/planner/planned_table.h
+++ b/src/planner/planned_table.h
@@ -1,7 +1,6 @@
 // A routing table as it was last ordered, and which proxies it serves. State only.
 #pragma once
 
-#include <algorithm>
 #include <map>
 #include <optional>
 #include <vector>
@@ -10,33 +9,28 @@
 
 namespace zincstack {
 
+/// A table is full (it names all endpoints that may serve its request classes) or a subset table: a short table for
+/// proxies that have just joined, which names a few of the endpoints of one full table.
 struct PlannedTable {
     TableId id;
     ZoneId zone;
-    bool zoneLocal;
+    bool zoneLocal; ///< it names endpoints of its own zone only
     RequestClassSet requestClasses;
-    std::vector<double> installed = {};             // weight of each server as last ordered
-    std::map<EndpointIndex, double> admission = {}; // by product, as last ordered
-    bool inUse = false;                             // some proxy of its zone has joined
-    double rateLimitFraction = 1;                   // the share at which a deadlocked table moves
-    std::optional<EndpointIndex> subsetOf = {};     // the place of its whole table; none: it is whole itself
-    EndpointIndex holderCount = 0; // of a starter table: proxies that hold it, and their traffic
-    double holderRate = 0;
-    bool serves(const Proxy& proxy) const {
-        if (!subsetOf) return proxy.hasFullTable && proxy.zone == zone;
-        return std::ranges::find(proxy.subsetTables, EndpointIndex{id.value}) != proxy.subsetTables.end();
-    }
-    double endpointCount() const { ///< servers that it names
-        return static_cast<double>(
-            std::ranges::count_if(installed, [](double weight) { return weight > 0; }));
-    }
-    double demand(const ProxyRegistry& all) const { ///< txns a second of the proxies that it serves
-        double sum = 0;
-        for (const auto& [proxyId, proxy] : all)
-            for (EndpointIndex p = 0; serves(proxy) && p < proxy.demand.size(); ++p)
-                sum += requestClasses >> p & 1U ? proxy.demand[p] : 0;
-        return sum;
-    }
+    std::vector<double> installed = {}; ///< by endpoint: the weight as last ordered
+    std::map<EndpointIndex, double> admission =
+        {};                       ///< by place of the request class: the limit as last ordered
+    bool inUse = false;           ///< of a full table: some proxy of its zone has joined
+    double rateLimitFraction = 1; ///< of its demand, that is admitted while an update is deadlocked
+    std::optional<EndpointIndex> subsetOf = {}; ///< place of the full table; none: it is full itself
+    EndpointIndex holderCount = 0;              ///< of a subset table: proxies that hold it
+    double holderRate = 0;                      ///< requests a second of these proxies
+
+    /// Whether the proxy holds this table.
+    bool serves(const Proxy& proxy) const;
+    /// Endpoints with a weight above zero.
+    double endpointCount() const;
+    /// Requests a second of its classes, from the proxies that hold it.
+    double demand(const ProxyRegistry& proxies) const;
 };
 
 } // namespace zincstack
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -1,177 +1,205 @@
-// The decision module: which servers each forwarder's tables name, and when orders go out.
+// The planner: keeps what its inputs say, and closes each batch with the steps of decide(). Each step is a module of
+// its own; this file only wires them and gives their order.
 //
-// Callers: makePlanner(), then begin(now), inputs, decide() a batch; orders go to an RoutingUpdateSink (planner.h).
-// The ordinary path is the design (docs/design.md): listed weights minus withdrawn servers, gathered over a
-// window, merged into differences, checked against a ledger, sent in rounds, add before shrink.
-// Beside the design stand six mechanisms:
-//   1 health          bad or silent sums lead to a probe; if it agrees, a server is shut out or eased
-//   2 return          a shut-out server comes back after good probes, a new one enters, by fifths
-//   3 levels          under stress of the whole fleet the least revenue for its time is let in less
-//   4 further tries   proxies try again only after proof that nothing ran: safe for every product
-//   5 channel pacing  lines on their way bound the queue: urgent first, then joiners, then rounds
-//   6 starting over   nothing is trusted after a start: all proxies are bound anew, busiest first
+//   endpoint_registry, proxy_registry, routing_tables   state
+//   health_monitor          ejects or slows endpoints that fail, readmits them, advances slow start
+//   admission_control       sheds load by priority while the whole fleet is overloaded
+//   control_channel         how much may be ordered now
+//   urgent_updates          what waits for no round
+//   table_assignment        which tables the proxies hold
+//   update_scheduler        consistent updates in rounds (docs/design.md)
+//
+// A planner starts without memory: it assigns tables to all proxies anew, the busiest first.
 #include "planner/planner.h"
 
 #include <algorithm>
 #include <cmath>
-#include <numeric>
 #include <random>
 #include <utility>
 
 #include "planner/admission_control.h"
 #include "planner/control_channel.h"
 #include "planner/health_monitor.h"
+#include "planner/table_assignment.h"
 #include "planner/update_scheduler.h"
+#include "planner/urgent_updates.h"
 
 namespace zincstack {
 namespace {
 
 using namespace std::chrono_literals;
 
+/// A planner without inputs decides this often, since windows, slow start and probes go by time.
 constexpr Micros kIdleInterval = 100ms;
+/// Weight that a proxy's demand rate keeps after a second, in its exponential average over demand reports.
 constexpr double kDemandDecay = 0.3;
+/// Part of a batch's budget that joining proxies may take before the rounds: the other half is left to these.
+constexpr double kJoinBudgetFraction = 0.5;
+
+Micros shortestLatencyObjective(const std::vector<RequestClassConfig>& requestClasses) {
+    return std::ranges::min(requestClasses, {}, &RequestClassConfig::latencyObjective).latencyObjective;
+}
 
 class CoeusPlanner final : public Planner {
 public:
-    CoeusPlanner(std::uint64_t seed, const FleetConfig& fleet, const ProxyFleetConfig& forwarders,
-                 const ControlChannelLimits& channel, const SafetyLimits& guards,
-                 std::span<const RequestClassConfig> products, RoutingUpdateSink& sink)
-        : sink_(sink), sharded_(fleet.sharded), mustSubscribe_(fleet.mustSubscribeToEndpoints),
-          health_(endpoints_, sink, fleet, guards,
-                  std::ranges::min(products, {}, &RequestClassConfig::latencyObjective).latencyObjective,
-                  std::mt19937(static_cast<std::uint32_t>(seed))),
-          channel_(proxies_, sink, channel, forwarders.bootstrapTableSize),
-          admission_(sink, forwarders.throttleMode, fleet.reportInterval,
-                     std::vector(products.begin(), products.end())),
-          scheduler_{.endpoints = endpoints_,
-                     .health = health_,
-                     .proxies = proxies_,
-                     .channel = channel_,
-                     .sink = sink,
-                     .tables = {},
-                     .subsets =
-                         SubsetTables(scheduler_.tables, proxies_, endpoints_, forwarders.bootstrapTableSize,
-                                      static_cast<std::uint32_t>(seed))} {
-        for (const bool zoneOnly : {false, true}) {
-            RequestClassSet part = 0;
-            for (EndpointIndex p = 0; p < products.size(); ++p)
-                if (products[p].zoneLocal == zoneOnly) part = static_cast<RequestClassSet>(part | 1U << p);
-            for (std::uint8_t z = 0; part && z < fleet.zoneCount; ++z)
-                scheduler_.tables.push_back(
-                    {{static_cast<std::uint16_t>(scheduler_.tables.size())}, {z}, zoneOnly, part});
-        }
+    CoeusPlanner(const PlannerConfig& config, RoutingUpdateSink& sink)
+        : sink_(sink), sharded_(config.fleet.sharded), drainGracePeriod_(config.safety.drainGracePeriod),
+          mustSubscribe_(config.fleet.mustSubscribeToEndpoints),
+          health_(endpoints_, sink, config.fleet, config.safety,
+                  shortestLatencyObjective(config.requestClasses),
+                  std::mt19937(static_cast<std::uint32_t>(config.seed))),
+          channel_(proxies_, sink, config.channel),
+          admission_(sink, config.proxyFleet.throttleMode, config.fleet.reportInterval,
+                     config.requestClasses),
+          routing_(endpoints_, channel_, sink, config.proxyFleet.bootstrapTableSize),
+          urgentUpdates_(endpoints_, health_, proxies_, channel_, routing_, sink),
+          assignment_(endpoints_, health_, proxies_, channel_, routing_, sink,
+                      config.proxyFleet.bootstrapTableSize, static_cast<std::uint32_t>(config.seed)),
+          scheduler_(endpoints_, proxies_, channel_, routing_, sink) {
+        routing_.createFullTables(config.requestClasses, config.fleet.zoneCount);
     }
 
+    // -- inputs --
     void beginBatch(Micros now) override { now_ = now; }
-    void updateEndpoints(EndpointListUpdate news, std::span<const EndpointUpdate> entries) override {
-        mustSubscribe_ |= news == EndpointListUpdate::PollFailed;
-        if (news != EndpointListUpdate::PollFailed)
-            health_.updateEndpoints(news != EndpointListUpdate::Delta, entries, now_);
-    }
-    void proxyJoined(ProxyId id, ZoneId zone, double usualRate, bool onlyStanding) override {
-        const EndpointIndex products = admission_.requestClasses.size();
-        proxyLeft(id);
-        const std::vector<double> usage(products, usualRate / static_cast<double>(products));
-        proxies_[id] = {.zone = zone,
-                        .hasOnlyBootstrapTable = onlyStanding,
-                        .demand = usage,
-                        .unacknowledged = {},
-                        .joinedAt = now_};
-    }
+    void updateEndpoints(EndpointListUpdate kind, std::span<const EndpointUpdate> entries) override;
+    void proxyJoined(ProxyId id, ZoneId zone, double expectedRate, bool hasOnlyBootstrapTable) override;
     void proxyLeft(ProxyId id) override { channel_.ledger.proxyLeft(id); }
-    void reportLoad(const EndpointLoadReport& line) override { health_.reportLoad(line); }
-    void reportDemand(const DemandReport& line) override {
-        const auto found = proxies_.find(line.proxy);
-        if (found == proxies_.end() || line.requestClass.value >= admission_.requestClasses.size() ||
-            line.interval <= 0us)
-            return;
-        double& rate = found->second.demand[line.requestClass.value];
-        const double heard = line.requests / seconds(line.interval);
-        rate = heard + std::pow(kDemandDecay, seconds(line.interval)) * (rate - heard);
-    }
-    void barrierAcknowledged(ProxyId id, BarrierId number) override {
-        channel_.ledger.acknowledged(id, number);
+    void reportLoad(const EndpointLoadReport& report) override { health_.reportLoad(report); }
+    void reportDemand(const DemandReport& report) override;
+    void barrierAcknowledged(ProxyId id, BarrierId barrier) override {
+        channel_.ledger.acknowledged(id, barrier);
     }
     void probeCompleted(const ProbeResult& result) override { health_.probeCompleted(result, now_); }
     void timerExpired() override { wakeUpScheduled_ = false; }
 
-    void decide() override {
-        if (sharded_) return;
-        if (!wakeUpScheduled_) sink_.scheduleWakeUp(kIdleInterval);
-        wakeUpScheduled_ = true;
-        if (std::exchange(mustSubscribe_, false)) sink_.subscribeToEndpoints();
-        if (const auto stress = health_.evaluateReports(admission_.meanLatencyObjective(proxies_), now_))
-            admission_.updateForOverload(*stress, health_.attemptRate, health_.successRate,
-                                         totalTargetWeight(endpoints_), proxies_);
-        health_.startDueProbes(now_);
-        if (!channel_.mayWriteBatch(now_)) return;
-        health_.advanceSlowStart(admission_.admittedDemand(proxies_),
-                                 scheduler_.state == RoundState::Idle || scheduler_.isStepAcknowledged(now_),
-                                 now_);
-        channel_.ledger.expire(now_ - kLedgerExpiry, now_ - kUnawaitedExpiry);
-        const bool idle = channel_.spareLines(kIdleBudget) > 0;
-        for (auto& table : scheduler_.tables) {
-            table.installed.resize(endpoints_.size(), 0);
-            table.inUse = !table.subsetOf && std::ranges::any_of(proxies_, [&](auto& one) {
-                return one.second.zone == table.zone;
-            });
-        }
-        scheduler_.batchStartedAt = now_;
-        const double half = channel_.spareLines(kBatchBudget) / 2;
-        if (half > 0 || channel_.isMetered()) scheduler_.orderUrgentUpdates(idle, now_);
-        // Guards against old tables that run out of servers while urgent orders take the whole channel.
-        const auto worn = [&](const PlannedTable& table) {
-            return endpoints_.excludedFraction(table.zone) >= kDepletedFraction;
-        };
-        if (half > 0 && (idle || std::ranges::any_of(scheduler_.tables, worn)))
-            channel_.assignFullTables(scheduler_.tables, endpoints_, half);
-        if (channel_.isMetered()) scheduler_.assignSubsetTables(now_);
-        if (half > 0 || channel_.isMetered()) scheduler_.repeatExclusions(idle, now_);
-        if (idle) {
-            scheduler_.advance(now_);
-            admission_.orderAdmission(scheduler_.tables, proxies_, channel_);
-            if (mayAssignFullTables())
-                channel_.assignFullTables(scheduler_.tables, endpoints_, channel_.spareLines(kBatchBudget));
-            if (channel_.spareLines(kIdleBudget) > 0) channel_.clearStaleExclusions(endpoints_);
-        }
-        if (const auto mark = channel_.closeBatch(now_); scheduler_.stepSentAt == now_)
-            scheduler_.stepBarrier = mark;
-    }
+    void decide() override;
 
 private:
-    /// Whole tables cost more to take back than starter tables: no more proxies hold them than can be told of the
-    /// servers that ended within a grace by half of the queue.
-    bool mayAssignFullTables() const {
-        if (!channel_.isMetered()) return true;
-        double ended = 1;
-        for (EndpointIndex s = 0; s < endpoints_.size(); ++s)
-            ended += endpoints_.health[s] == Removed && !endpoints_.forgotten[s] &&
-                     endpoints_.healthChangedAt[s] > now_ - health_.safety.drainGracePeriod;
-        const auto bound = static_cast<double>(
-            std::ranges::count_if(proxies_, [](const auto& one) { return one.second.hasFullTable; }));
-        return bound * (channel_.limits.messageOverheadLines + 1 + ended) <=
-               kOrdinaryQueueFraction * channel_.limits.maxQueuedLines;
-    }
+    // -- steps of decide(), in their order; the others are calls of the modules --
+    void scheduleWakeUp();
+    void subscribeToEndpoints();
+    void evaluateReports();
+    void advanceSlowStart();
+    void orderOrdinaryUpdates();
+    void closeBatch();
+
+    bool isSomeZoneDepleted() const;
 
     RoutingUpdateSink& sink_;
     const bool sharded_;
-    bool mustSubscribe_, wakeUpScheduled_ = false;
+    const Micros drainGracePeriod_;
+    bool mustSubscribe_;
+    bool wakeUpScheduled_ = false;
     Micros now_{};
     EndpointRegistry endpoints_;
     ProxyRegistry proxies_;
     HealthMonitor health_;
     ControlChannel channel_;
     AdmissionController admission_;
+    RoutingTables routing_;
+    UrgentUpdates urgentUpdates_;
+    TableAssignment assignment_;
     UpdateScheduler scheduler_;
 };
 
+void CoeusPlanner::updateEndpoints(EndpointListUpdate kind, std::span<const EndpointUpdate> entries) {
+    if (kind == EndpointListUpdate::PollFailed) {
+        mustSubscribe_ = true;
+        return;
+    }
+    const bool isComplete = kind != EndpointListUpdate::Delta;
+    health_.updateEndpoints(isComplete, entries, now_);
+}
+
+void CoeusPlanner::proxyJoined(ProxyId id, ZoneId zone, double expectedRate, bool hasOnlyBootstrapTable) {
+    proxyLeft(id);
+    const EndpointIndex classCount = admission_.requestClasses.size();
+    proxies_[id] = {
+        .zone = zone,
+        .hasOnlyBootstrapTable = hasOnlyBootstrapTable,
+        .demand = std::vector<double>(classCount, expectedRate / static_cast<double>(classCount)),
+        .joinedAt = now_,
+    };
+}
+
+void CoeusPlanner::reportDemand(const DemandReport& report) {
+    const auto found = proxies_.find(report.proxy);
+    if (found == proxies_.end() || report.interval <= 0us) return;
+    if (report.requestClass.value >= admission_.requestClasses.size()) return;
+    double& rate = found->second.demand[report.requestClass.value];
+    const double reportedRate = report.requests / seconds(report.interval);
+    rate = reportedRate + std::pow(kDemandDecay, seconds(report.interval)) * (rate - reportedRate);
+}
+
+void CoeusPlanner::decide() {
+    if (sharded_) return;
+    scheduleWakeUp();
+    subscribeToEndpoints();
+    evaluateReports();
+    health_.startDueProbes(now_);
+    if (!channel_.mayWriteBatch(now_)) return;
+
+    advanceSlowStart();
+    channel_.ledger.expire(now_);
+    routing_.beginBatch(proxies_, now_);
+    const bool channelIsIdle = channel_.spareLines(kIdleBudget) > 0;
+    const double joinBudget = kJoinBudgetFraction * channel_.spareLines(kBatchBudget);
+    // A sink that measures the channel holds back by itself what does not fit.
+    const bool mayOrder = joinBudget > 0 || channel_.isMetered();
+
+    if (mayOrder) urgentUpdates_.order(channelIsIdle, now_);
+    // In a depleted zone inherited tables run out of endpoints: urgent updates must not take the whole channel.
+    if (joinBudget > 0 && (channelIsIdle || isSomeZoneDepleted())) assignment_.assignFullTables(joinBudget);
+    if (channel_.isMetered()) assignment_.assignSubsetTables(now_);
+    if (mayOrder) urgentUpdates_.repeatExclusions(channelIsIdle, now_);
+    if (channelIsIdle) orderOrdinaryUpdates();
+    closeBatch();
+}
+
+void CoeusPlanner::scheduleWakeUp() {
+    if (!wakeUpScheduled_) sink_.scheduleWakeUp(kIdleInterval);
+    wakeUpScheduled_ = true;
+}
+
+void CoeusPlanner::subscribeToEndpoints() {
+    if (std::exchange(mustSubscribe_, false)) sink_.subscribeToEndpoints();
+}
+
+/// Updates the endpoints' health from the load reports, and the admission from the overload that they show.
+void CoeusPlanner::evaluateReports() {
+    const auto overload = health_.evaluateReports(admission_.meanLatencyObjective(proxies_), now_);
+    if (!overload) return;
+    admission_.updateForOverload(*overload, health_.attemptRate, health_.successRate,
+                                 totalTargetWeight(endpoints_), proxies_);
+}
+
+void CoeusPlanner::advanceSlowStart() {
+    health_.advanceSlowStart(admission_.admittedDemand(proxies_), scheduler_.mayChangeTargets(now_), now_);
+}
+
+/// What can wait until the channel is idle: the rounds first, then admission, then joining proxies.
+void CoeusPlanner::orderOrdinaryUpdates() {
+    scheduler_.advance(now_);
+    admission_.orderAdmission(routing_.tables, proxies_, channel_);
+    if (assignment_.mayAssignFullTables(drainGracePeriod_, now_))
+        assignment_.assignFullTables(channel_.spareLines(kBatchBudget));
+    if (channel_.spareLines(kIdleBudget) > 0) assignment_.clearStaleExclusions();
+}
+
+void CoeusPlanner::closeBatch() {
+    const auto barrier = channel_.closeBatch(now_);
+    scheduler_.batchClosed(barrier, now_);
+}
+
+bool CoeusPlanner::isSomeZoneDepleted() const {
+    return std::ranges::any_of(
+        routing_.tables, [this](const PlannedTable& table) { return isDepleted(endpoints_, table.zone); });
+}
+
 } // namespace
 
-std::unique_ptr<Planner> makePlanner(std::uint64_t seed, const FleetConfig& fleet,
-                                     const ProxyFleetConfig& forwarders, const ControlChannelLimits& channel,
-                                     const SafetyLimits& guards, std::span<const RequestClassConfig> products,
-                                     RoutingUpdateSink& sink) {
-    return std::make_unique<CoeusPlanner>(seed, fleet, forwarders, channel, guards, products, sink);
+std::unique_ptr<Planner> makePlanner(const PlannerConfig& config, RoutingUpdateSink& sink) {
+    return std::make_unique<CoeusPlanner>(config, sink);
 }
 
 } // namespace zincstack
--- a/src/planner/proxy_registry.h
+++ b/src/planner/proxy_registry.h
@@ -1,36 +1,47 @@
-// Which proxies have joined, what they hold and what they ask for. State only.
+// Which proxies have joined, what they hold and what they request. State only.
 #pragma once
 
 #include <deque>
 #include <map>
 #include <numeric>
-#include <utility>
 #include <vector>
 
 #include "planner/endpoint_registry.h"
 
 namespace zincstack {
 
+/// A message that was sent to a proxy and that it has not acknowledged.
+struct UnacknowledgedMessage {
+    BarrierId barrier;
+    double lines = 0; ///< with its overhead
+};
+
 struct Proxy {
     ZoneId zone;
-    bool hasFullTable = false, hasOnlyBootstrapTable = true; // bound: to whole tables
-    std::vector<double> demand;                              // txns a second by product
-    double stagedLines = 0;                                  // lines of the message now being put together
-    std::deque<std::pair<BarrierId, double>> unacknowledged = {}; // lines of each message without an answer
+    bool hasFullTable = false; ///< it is assigned the full tables of its zone
+    /// Of a proxy with an inherited table: that is the bootstrap table; false: a table of an earlier planner.
+    bool hasOnlyBootstrapTable = true;
+    std::vector<double> demand; ///< requests a second, by place of the request class
+    double stagedLines = 0;     ///< in the message of the open batch
+    std::deque<UnacknowledgedMessage> unacknowledged = {}; ///< oldest first
     Micros joinedAt{};
-    bool staleExclusionsCleared = false;          // let back is what earlier planners withdrew
-    std::vector<EndpointIndex> subsetTables = {}; // the starter tables that it holds; empty: none, or bound
+    bool staleExclusionsCleared = false; ///< what earlier planners excluded at it has been readmitted
+    /// Places of the subset tables that it holds. Empty: it holds full tables, or an inherited one.
+    std::vector<EndpointIndex> subsetTables = {};
+
+    /// Nothing has been assigned to it yet: it holds what it joined with.
     bool usesInheritedTable() const { return !hasFullTable && subsetTables.empty(); }
+    /// Requests a second of all classes.
     double requestRate() const { return std::accumulate(demand.begin(), demand.end(), 0.0); }
 };
 using ProxyRegistry = std::map<ProxyId, Proxy>;
 
-/// Txns a second of each product, of all proxies.
-inline std::vector<double> demandByClass(const ProxyRegistry& proxies, EndpointIndex products) {
-    std::vector<double> out(products, 0);
+/// Requests a second of each class, summed over all proxies.
+inline std::vector<double> demandByClass(const ProxyRegistry& proxies, EndpointIndex classCount) {
+    std::vector<double> total(classCount, 0);
     for (const auto& [id, proxy] : proxies)
-        for (EndpointIndex p = 0; p < products; ++p) out[p] += proxy.demand[p];
-    return out;
+        for (EndpointIndex place = 0; place < classCount; ++place) total[place] += proxy.demand[place];
+    return total;
 }
 
 } // namespace zincstack
--- a/src/planner/subset_tables.h
+++ b/src/planner/subset_tables.h
@@ -1,49 +1,55 @@
-// Starter tables: the short tables that proxies get first where there is no room in the channel to bind all that have
-// joined to their whole table at once.
+// Deterministic subsetting: short tables for proxies that join while the control channel can't carry full tables for
+// all of them at once.
 //
-// A proxy joins with a table that an earlier planner wrote, which may name any server that has ended since, known here
-// or not. Telling it of each of them costs a line a server; a starter table ends all of them at once for a few lines,
-// and leaves few lines to take back in a release. The warm servers of a zone's whole table are dealt out over its
-// starter tables, each to one, and proxies over the tables by their traffic, so that all servers get their shares.
+// A proxy joins with an inherited table, which may name any endpoint that has ended since, known here or not. To
+// exclude each of them costs a line an endpoint; a subset table replaces them all for a few lines, and leaves few lines
+// to take back in a rollout. The endpoints of a zone's full table are distributed over its subset tables, each to one,
+// and proxies over these by their request rate, so that each endpoint gets its share.
 #pragma once
 
+#include <cstdint>
+#include <optional>
 #include <random>
 #include <vector>
 
 #include "planner/planned_table.h"
-#include "planner/planner.h"
 
 namespace zincstack {
 
+/// Decides what subset tables name and who gets which; the caller orders it. Appends subset tables to `tables`, and
+/// keeps their `holderCount` and `holderRate`. Tables are named by their place in `tables`.
 class SubsetTables {
 public:
-    /// `rows`: servers in each; as many as a proxy's standing table may have. `tables` holds the whole tables first;
-    /// starter tables are added behind them as they are needed.
-    SubsetTables(std::vector<PlannedTable>& tables, ProxyRegistry& proxies, EndpointRegistry& servers,
-                 std::size_t rows, std::uint32_t seed)
-        : tables_(tables), proxies_(proxies), endpoints_(servers), endpointsPerTable_(rows), random_(seed) {}
+    /// `tables` holds the full tables first. The references must outlive this object.
+    SubsetTables(std::vector<PlannedTable>& tables, const ProxyRegistry& proxies,
+                 const EndpointRegistry& endpoints, std::size_t endpointsPerTable, std::uint32_t seed)
+        : tables_(tables), proxies_(proxies), endpoints_(endpoints), endpointsPerTable_(endpointsPerTable),
+          random_(seed) {}
 
+    /// An endpoint that is to be added to a table.
     struct TableEndpoint {
         EndpointIndex table;
         EndpointIndex endpoint;
     };
-    /// Deals the servers out over those tables of a whole table that no proxy holds, which are empty. `usable` are
-    /// servers that may get their full part at once. Returns the rows that have to be added.
-    std::vector<TableEndpoint> distribute(EndpointIndex whole, const std::vector<EndpointIndex>& usable);
-    /// Tables with too few servers left, and the servers that they get in addition.
-    std::vector<TableEndpoint> refill(EndpointIndex whole, const std::vector<EndpointIndex>& usable);
-    /// The starter table of a whole table on which a proxy of that rate weighs least; none where there is none.
-    std::optional<EndpointIndex> assign(EndpointIndex whole, double rate);
-    /// Counts anew which starter tables are held, and by how much traffic.
+    /// Distributes the endpoints over those subset tables of a full table that no proxy holds, which are empty;
+    /// creates as many tables as needed. `usable`: endpoints that may get their full share at once.
+    std::vector<TableEndpoint> distribute(EndpointIndex fullTable, const std::vector<EndpointIndex>& usable);
+    /// The endpoints that subset tables with too few usable ones get in addition.
+    std::vector<TableEndpoint> refill(EndpointIndex fullTable, const std::vector<EndpointIndex>& usable);
+    /// Chooses the subset table that is loaded least once a proxy of this request rate holds it, and counts the
+    /// proxy as its holder. None: no subset table has an endpoint.
+    std::optional<EndpointIndex> assign(EndpointIndex fullTable, double requestRate);
+    /// Counts the holders of each subset table anew.
     void recount();
 
 private:
     bool hasEnoughEndpoints(const PlannedTable& table) const;
-    std::vector<EndpointIndex> subsetsOf(EndpointIndex whole) const;
+    std::vector<EndpointIndex> subsetsOf(EndpointIndex fullTable) const;
+    EndpointIndex createSubset(EndpointIndex fullTable);
 
     std::vector<PlannedTable>& tables_;
-    ProxyRegistry& proxies_;
-    EndpointRegistry& endpoints_;
+    const ProxyRegistry& proxies_;
+    const EndpointRegistry& endpoints_;
     const std::size_t endpointsPerTable_;
     std::mt19937 random_;
 };
--- /dev/null
+++ b/src/planner/urgent_updates.cpp
@@ -0,0 +1,95 @@
+#include "planner/urgent_updates.h"
+
+#include <algorithm>
+
+namespace zincstack {
+
+namespace {
+
+using namespace std::chrono_literals;
+
+/// No proxy joins with an inherited table that is older.
+constexpr Micros kMaxInheritedTableAge = 30s;
+/// Excluded part of a zone's endpoints from which on it counts as depleted.
+constexpr double kDepletedFraction = 0.25;
+
+} // namespace
+
+bool isDepleted(const EndpointRegistry& endpoints, ZoneId zone) {
+    return endpoints.excludedFraction(zone) >= kDepletedFraction;
+}
+
+void UrgentUpdates::order(bool channelIsIdle, Micros now) {
+    for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
+        forgetIfUnreferenced(index, now);
+        if (endpoints_.forgotten[index]) continue;
+        const bool outOfService = !endpoints_.isInService(index) && !endpoints_.excluded[index];
+        lowerWeights(index, outOfService, channelIsIdle, now);
+        if (outOfService) exclude(index);
+    }
+    fillTablesWithoutEndpoint();
+}
+
+void UrgentUpdates::forgetIfUnreferenced(EndpointIndex index, Micros now) {
+    if (endpoints_.health[index] != HealthState::Removed) return;
+    if (!endpoints_.excluded[index] || endpoints_.forgotten[index]) return;
+    if (now - endpoints_.healthChangedAt[index] <= kMaxInheritedTableAge) return;
+    const bool isReferenced = std::ranges::any_of(
+        routing_.tables, [index](const PlannedTable& table) { return table.installed[index] > 0; });
+    if (!isReferenced && sink_.forgetEndpoint(endpoints_.id[index])) endpoints_.forget(index);
+}
+
+/// An endpoint that warms up can't carry its weight: it loses it at once. Any other in slow start (readmitted, or
+/// its weight reduced) loses some only while the channel is idle.
+void UrgentUpdates::lowerWeights(EndpointIndex index, bool outOfService, bool channelIsIdle, Micros now) {
+    const bool isWarmingUp = health_.warmUpFraction(index, now) < 1;
+    const bool isInSlowStart = endpoints_.slowStartStep[index] < kSlowStartSteps;
+    const bool mayLower = isWarmingUp || (channelIsIdle && isInSlowStart);
+    for (PlannedTable& table : routing_.tables) {
+        if (table.installed[index] <= routing_.targetWeightIn(table, index)) continue;
+        const bool hasCapacity = outOfService ? channel_.hasDeadlineCapacity(channel_.broadcastLines())
+                                              : mayLower && channel_.spareLines(kBatchBudget) > 0;
+        if (hasCapacity) routing_.installWeight(table, index);
+    }
+}
+
+void UrgentUpdates::exclude(EndpointIndex index) {
+    // Only inherited tables name it now. They are short: ejections must not take their last endpoints.
+    const bool isEjected = endpoints_.health[index] == HealthState::Ejected;
+    if (isEjected && isDepleted(endpoints_, endpoints_.zone[index])) return;
+    if (channel_.hasDeadlineCapacity(channel_.broadcastLines())) routing_.setExcluded(index, true);
+}
+
+/// Whatever took its last endpoint, such a table waits for no round.
+void UrgentUpdates::fillTablesWithoutEndpoint() {
+    for (PlannedTable& table : routing_.tables) {
+        if (table.subsetOf || !routing_.isWithoutEndpoint(table)) continue;
+        for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
+            if (routing_.targetWeightIn(table, index) <= 0) continue;
+            if (channel_.hasDeadlineCapacity(channel_.broadcastLines())) routing_.installWeight(table, index);
+        }
+    }
+}
+
+void UrgentUpdates::repeatExclusions(bool channelIsIdle, Micros now) {
+    if (now - exclusionsRepeatedAt_ < kGatheringWindow) return;
+    exclusionsRepeatedAt_ = now;
+    const Micros lastJoin = lastJoinWithInheritedTable();
+    for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
+        if (endpoints_.forgotten[index] || !endpoints_.excluded[index]) continue;
+        if (lastJoin <= endpoints_.excludedAt[index]) continue;
+        // No deadline runs for ejected endpoints: their exclusion can wait.
+        const bool isUrgent = endpoints_.health[index] == HealthState::Removed;
+        if ((isUrgent || channelIsIdle) && channel_.hasDeadlineCapacity(channel_.broadcastLines()))
+            routing_.setExcluded(index, true);
+    }
+}
+
+Micros UrgentUpdates::lastJoinWithInheritedTable() const {
+    Micros latest{-1};
+    for (const auto& [id, proxy] : proxies_)
+        if (proxy.usesInheritedTable()) latest = std::max(latest, proxy.joinedAt);
+    return latest;
+}
+
+} // namespace zincstack
--- a/src/simwire/host.cpp
+++ b/src/simwire/host.cpp
@@ -279,8 +279,8 @@
     for (const auto& line : start.notices) notice_(line);
     auto fresh = std::make_unique<Hosted>(reply_, who);
     fresh->reportColumns = start.reportColumns;
-    fresh->planner = makePlanner(seed, start.fleet, start.forwarders, start.channel, start.guards,
-                                 start.products, fresh->sink);
+    fresh->planner = makePlanner(
+        {seed, start.fleet, start.forwarders, start.channel, start.guards, start.products}, fresh->sink);
     hosted_[who] = std::move(fresh);
     hosted(who, in);
 }
--- a/tests/proxy_model.h
+++ b/tests/proxy_model.h
@@ -77,7 +77,7 @@
 
     void start(std::uint64_t seed = 7) {
         tables = {}, levelled = {}, withdrawn = {}, assigned = {}, queue = {}, open = {}, wakeAt = -1us;
-        planner = makePlanner(seed, fleet, forwarders, channel, guards, products, *this);
+        planner = makePlanner({seed, fleet, forwarders, channel, guards, products}, *this);
         std::vector<EndpointUpdate> all;
         for (auto& [id, one] : known)
             if (one.entry.state != EndpointState::Removed) all.push_back(one.entry);
--- a/tests/pubsub_service_test.cpp
+++ b/tests/pubsub_service_test.cpp
@@ -39,9 +39,11 @@
         {1s, 3s, 3, .1, Idempotency::Idempotent, false, false},
         {1s, 3s, 2, .1, Idempotency::IdempotencyKeyed, false, true}};
     std::unique_ptr<Planner> planner = makePlanner(
-        7, FleetConfig{.zoneCount = 2, .plannerCount = 1, .hasEndpointWeights = true, .reportInterval = 1s},
-        ProxyFleetConfig{.proxyCount = kProxies, .bootstrapTableSize = 3, .throttleMode = ThrottleMode::Rate},
-        channelLimits, safetyLimits, requestClasses, routingState);
+        {7, FleetConfig{.zoneCount = 2, .plannerCount = 1, .hasEndpointWeights = true, .reportInterval = 1s},
+         ProxyFleetConfig{
+             .proxyCount = kProxies, .bootstrapTableSize = 3, .throttleMode = ThrottleMode::Rate},
+         channelLimits, safetyLimits, requestClasses},
+        routingState);
     net::BatchRunner batchRunner{io, *planner, routingState, counters, 2ms};
     net::InputTranslator inputTranslator{batchRunner, updateQueue, names, counters, kProxies};
     pubsub::SubscriptionServer* server = nullptr;
--- a/tests/simulated_fleet.cpp
+++ b/tests/simulated_fleet.cpp
@@ -70,7 +70,7 @@
         {1s, 4s, 2, .1, Idempotency::IdempotencyKeyed, false, true},
         {1s, 2s, 3, .1, Idempotency::NonIdempotent, false, true}};
     planner_ =
-        makePlanner(config.seed, fleet, proxies, channelLimitsOf(config), limits, requestClasses, state_);
+        makePlanner({config.seed, fleet, proxies, channelLimitsOf(config), limits, requestClasses}, state_);
 }
 
 SimulatedFleet::~SimulatedFleet() = default;
