--- a/src/planner/admission_control.h
+++ b/src/planner/admission_control.h
@@ -88,9 +88,8 @@
                                         kMaxCapacityFactor);
         }
         if (stress < kTargetOverload && wanted <= capacityFactor * bestCapacity * weight) shedding = false;
-        if (before != shedding)
-            sink.log((shedding ? "limits: wanted " : "lets all in: wanted ") + text(wanted) + ", best " +
-                     text(bestCapacity * weight) + ", stress " + text(stress));
+        if (shedding && !before) sink.report(LoadSheddingStarted{wanted, bestCapacity * weight, stress});
+        if (!shedding && before) sink.report(LoadSheddingStopped{wanted, bestCapacity * weight, stress});
         std::vector<EndpointIndex> order(requestClasses.size());
         std::iota(order.begin(), order.end(), EndpointIndex{0});
         const auto worth = [&](EndpointIndex p) {
--- a/src/planner/health_monitor.h
+++ b/src/planner/health_monitor.h
@@ -56,8 +56,6 @@
     return 0;
 }
 
-inline std::string text(double value) { return std::to_string(value).substr(0, 6); }
-
 enum class HealthEvent {
     Listed,
     Restarted,
@@ -282,9 +280,10 @@
         const auto* row = findTransition(kHealthTransitions, endpoints.health[s],
                                          [&](HealthEvent input) { return input == news; });
         if (!row || (row->effect == Eject && !mayEject(s))) return;
-        if ((row->next == Ejected) != (endpoints.health[s] == Ejected))
-            sink.log((row->next == Ejected ? "out: " : "back: ") + std::to_string(s) + ", tries " +
-                     text(endpoints.attempts[s]) + ", failed " + text(endpoints.failures[s]));
+        if (row->next == Ejected && endpoints.health[s] != Ejected)
+            sink.report(EndpointEjected{endpoints.id[s], endpoints.attempts[s], endpoints.failures[s]});
+        if (row->next != Ejected && endpoints.health[s] == Ejected)
+            sink.report(EndpointReadmitted{endpoints.id[s], endpoints.attempts[s], endpoints.failures[s]});
         if (row->next == Removed && endpoints.health[s] != Removed) endpoints.healthChangedAt[s] = now;
         endpoints.health[s] = row->next;
         switch (row->effect) {
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -7,35 +7,17 @@
 // deterministic: the same inputs, clock and seed give the same updates.
 #pragma once
 
-#include <chrono>
-#include <compare>
 #include <cstddef>
 #include <cstdint>
 #include <memory>
 #include <optional>
 #include <span>
-#include <string_view>
 #include <vector>
 
-namespace zincstack {
-
-using Micros = std::chrono::microseconds;
+#include "planner/ids.h"
+#include "planner/planner_event.h"
 
-/// A type for each kind of id, so that a proxy's id can't be passed where a table's is meant.
-template <class Tag, class Rep>
-struct Id {
-    Rep value{};
-    friend constexpr auto operator<=>(const Id&, const Id&) = default;
-};
-using EndpointId = Id<struct EndpointTag, std::uint64_t>;
-using ProxyId = Id<struct ProxyTag, std::uint16_t>;
-using TableId = Id<struct TableTag, std::uint16_t>;
-using ZoneId = Id<struct ZoneTag, std::uint8_t>;
-using PodId = Id<struct PodTag, std::uint16_t>;
-using RequestClassId = Id<struct RequestClassTag, std::uint16_t>;
-using BarrierId = Id<struct BarrierTag, std::uint16_t>;
-/// Bit k stands for the request class at place k of PlannerConfig::requestClasses.
-using RequestClassSet = std::uint16_t;
+namespace zincstack {
 
 // ---- configuration, read once at start ---------------------------------------------------------------------
 
@@ -177,7 +159,8 @@
     virtual void subscribeToEndpoints() = 0;
     /// Planner::timerExpired() is to be called after the delay.
     virtual void scheduleWakeUp(Micros delay) = 0;
-    virtual void log(std::string_view line) = 0;
+    /// Informs the operator of a decision; it asks for nothing.
+    virtual void report(const PlannerEvent& event) = 0;
     /// Drops all state of an endpoint that has ended. False: an exclusion can't be taken back for an endpoint that
     /// is listed anew, so the planner has to remember it.
     virtual bool forgetEndpoint(EndpointId) { return false; }
--- a/src/planner/update_scheduler.cpp
+++ b/src/planner/update_scheduler.cpp
@@ -197,7 +197,7 @@
 }
 
 void UpdateScheduler::reportDeadlock(const PlannedTable& table) {
-    sink_.log("deadlock: " + std::to_string(table.id.value) + " at " + text(table.rateLimitFraction));
+    sink_.report(UpdateDeadlock{table.id, table.rateLimitFraction});
 }
 
 bool UpdateScheduler::orderUpdate(const PendingOperation& operation, EndpointIndex index) {
--- a/src/routing/routing_state.cpp
+++ b/src/routing/routing_state.cpp
@@ -3,11 +3,42 @@
 #include <algorithm>
 #include <cmath>
 #include <utility>
+#include <variant>
 
 #include "log/log.h"
 
 namespace zincstack::routing {
 
+namespace {
+
+/// Writes a planner event to the program's log, with endpoints by name.
+struct EventLogger {
+    const net::NameRegistry& names;
+    std::string_view name;
+
+    void operator()(const EndpointEjected& event) const { logEndpoint(event); }
+    void operator()(const EndpointReadmitted& event) const { logEndpoint(event); }
+    void operator()(const LoadSheddingStarted& event) const { logShedding(event); }
+    void operator()(const LoadSheddingStopped& event) const { logShedding(event); }
+    void operator()(const UpdateDeadlock& event) const {
+        log::info(name, {{"table", event.table.value}, {"rate_limit_fraction", event.rateLimitFraction}});
+    }
+
+private:
+    void logEndpoint(const auto& event) const {
+        log::info(name, {{"endpoint", names.nameOf(event.endpoint)},
+                         {"attempts", event.attempts},
+                         {"failures", event.failures}});
+    }
+    void logShedding(const auto& event) const {
+        log::info(
+            name,
+            {{"demand", event.demand}, {"best_capacity", event.bestCapacity}, {"overload", event.overload}});
+    }
+};
+
+} // namespace
+
 RoutingState::RoutingState(net::NameRegistry& names, net::Counters& counters,
                            std::function<void(EndpointId)> startProbe,
                            std::function<void(Micros)> scheduleWakeUp, const ControlChannelLimits& channel)
@@ -178,7 +209,9 @@
     return found != proxies_.end() && found->second.transport->supportsReassignment();
 }
 
-void RoutingState::log(std::string_view line) { log::info("planner", {{"says", line}}); }
+void RoutingState::report(const PlannerEvent& event) {
+    std::visit(EventLogger{names_, eventName(event)}, event);
+}
 
 void RoutingState::flush(Micros now) {
     now_ = now;
--- a/src/routing/routing_state.h
+++ b/src/routing/routing_state.h
@@ -7,7 +7,6 @@
 #include <map>
 #include <optional>
 #include <set>
-#include <string_view>
 #include <vector>
 
 #include "metrics/counters.h"
@@ -101,7 +100,7 @@
     void probe(EndpointId endpoint) override { startProbe_(endpoint); }
     void subscribeToEndpoints() override {} // discovery is always subscribed
     void scheduleWakeUp(Micros delay) override { scheduleWakeUp_(delay); }
-    void log(std::string_view line) override;
+    void report(const PlannerEvent& event) override;
     /// False while a proxy has still to be notified of the endpoint's removal: once its name is forgotten, it could
     /// not be notified any more.
     bool forgetEndpoint(EndpointId endpoint) override;
--- a/src/simwire/host.cpp
+++ b/src/simwire/host.cpp
@@ -76,7 +76,10 @@
     void scheduleWakeUp(Micros span) override {
         reply_.record(kSchedule, who_, kWakeTag, static_cast<double>(span.count()) / 1e6);
     }
-    void log(std::string_view line) override { reply_.record(kLog, who_, line); }
+    void report(const PlannerEvent& event) override {
+        const std::string line = eventText(event);
+        reply_.record(kLog, who_, std::string_view(line));
+    }
 
 private:
     ReplyWriter& reply_;
--- a/tests/digest_decisions.cpp
+++ b/tests/digest_decisions.cpp
@@ -73,9 +73,9 @@
                {{"proxy", number(proxy)}, {"most", std::to_string(most)}, {"done", std::to_string(done)}});
         return done;
     }
-    /// Not recorded as an event, since its wording may change; its first word tells what has been reached.
-    void log(std::string_view line) override {
-        ++day.coverage["log: " + std::string(line.substr(0, line.find(':')))];
+    /// Only counted: an event for the log is not an order. Its name tells what has been reached.
+    void report(const PlannerEvent& event) override {
+        ++day.coverage["event: " + std::string(eventName(event))];
     }
     std::optional<double> pendingLines() const override {
         if (!channelIsCounted) return {};
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -88,7 +88,7 @@
         world.answerProbes(ProbeStatus::TimedOut);
         world.pass(5s);
     }
-    return std::make_tuple(world.tables, world.withdrawn, world.logs);
+    return std::make_tuple(world.tables, world.withdrawn, world.events);
 }
 
 TEST(Rules, HoldAtFullSizeAndTheSameInputsGiveTheSameOrders) {
@@ -180,7 +180,10 @@
     EXPECT_EQ(weightOf(*world, 9), 12);
     world->pass(6s);
     EXPECT_EQ(world->levels.back().second, 1);
-    EXPECT_EQ(std::ranges::count_if(world->logs, [](auto& one) { return one.starts_with("deadlock"); }), 2);
+    EXPECT_EQ(std::ranges::count_if(
+                  world->events,
+                  [](const PlannerEvent& event) { return std::holds_alternative<UpdateDeadlock>(event); }),
+              2);
 }
 
 TEST(Joiners, AreBoundBusiestFirst) {
--- a/tests/proxy_model.h
+++ b/tests/proxy_model.h
@@ -73,7 +73,8 @@
     std::vector<std::pair<EndpointId, double>> lines; // orders since the last clear(), for plain cases
     std::vector<std::pair<ProxyId, TableId>> binds;
     std::vector<std::pair<RequestClassSet, double>> levels;
-    std::vector<std::string> logs, broken;
+    std::vector<PlannerEvent> events;
+    std::vector<std::string> broken;
 
     void start(std::uint64_t seed = 7) {
         tables = {}, levelled = {}, withdrawn = {}, assigned = {}, queue = {}, open = {}, wakeAt = -1us;
@@ -244,7 +245,7 @@
         expect(wakeAt < 0us && span > 0us, "a wake-up beside another, or in the past");
         wakeAt = now + span;
     }
-    void log(std::string_view line) override { logs.emplace_back(line); }
+    void report(const PlannerEvent& event) override { events.push_back(event); }
     bool forgetEndpoint(EndpointId server) override {
         if (forgets) withdrawn.erase(server);
         return forgets;
