--- a/src/planner/endpoint_registry.h
+++ b/src/planner/endpoint_registry.h
@@ -1,86 +1,103 @@
 // What is known of each endpoint: identity, health, load figures. State only; no decision is made here.
 #pragma once
 
-#include <algorithm>
+#include <cstddef>
 #include <map>
-#include <utility>
 #include <vector>
 
 #include "planner/planner.h"
 
 namespace zincstack {
 
+/// Dense index of an endpoint in the registry; it is reused once the endpoint is forgotten.
 using EndpointIndex = std::size_t;
 
+/// A duration as a floating-point number of seconds.
 inline double seconds(Micros span) { return static_cast<double>(span.count()) / 1e6; }
 
-enum class HealthState { Removed, Healthy, Suspect, Unlisted, Ejected, Any };
+/// Health of an endpoint as the planner judges it.
+enum class HealthState {
+    Removed,  ///< drained or removed from the endpoint list: never in a table
+    Healthy,  ///< in service
+    Suspect,  ///< in service; load reports are bad and a health check is to decide
+    Unlisted, ///< in service; the endpoint list lacks it and a health check is to decide
+    Ejected,  ///< an outlier, out of service until health checks succeed again
+    Any       ///< only in transition tables: applies in every state
+};
 
-/// Figures on servers in parallel arrays under a dense index. That of a server that is forgotten goes to the
-/// next new one; what comes late for the old one finds no index by its id.
+/// State of all endpoints as parallel arrays under a dense index, each with `size()` elements. A forgotten endpoint's
+/// index goes to the next new one; late input for the forgotten one then finds no index by its id.
 struct EndpointRegistry {
     std::map<EndpointId, EndpointIndex> indexById;
-    std::vector<EndpointIndex> freeIndexes; // of servers that are forgotten: ended, and in no table
+    std::vector<EndpointIndex> freeIndexes; ///< of forgotten endpoints: removed, and in no table
+
     std::vector<EndpointId> id;
     std::vector<ZoneId> zone;
+    std::vector<double> listedWeight; ///< from the endpoint list; 1 where the list has no weights
+    std::vector<Micros> startedAt;    ///< from the endpoint list; zero: long ago
+    std::vector<char> forgotten;      ///< its entry is free
+
     std::vector<HealthState> health;
-    std::vector<Micros> startedAt, nextProbeAt, holdUntil, healthChangedAt, excludedAt;
-    std::vector<int> slowStartStep, consecutiveGoodProbes;
-    std::vector<char> excluded, probeInFlight, hasReported, weightReduced,
-        forgotten; // withdrawn: ordered out of all tables
-    std::vector<double> listedWeight, attempts, failures, latencySum, saturation, inFlight,
-        reportsWhenLastSeen, attemptsWhenLastSeen;
+    std::vector<Micros> healthChangedAt;
+    std::vector<Micros> holdUntil;   ///< no readmission and no slow-start step before then
+    std::vector<char> weightReduced; ///< it was slow: its weight recovers a step a minute
+    std::vector<int> slowStartStep;  ///< 0 to kSlowStartSteps: the fraction of the listed weight that it gets
+    std::vector<char> probeInFlight;
+    std::vector<Micros> nextProbeAt;
+    std::vector<int> consecutiveGoodProbes;
+
+    std::vector<char> excluded;     ///< withdrawn from all tables, also from inherited ones
+    std::vector<Micros> excludedAt; ///< when the exclusion was last ordered
+
+    std::vector<char> hasReported;            ///< some attempt has succeeded since it was added to service
+    std::vector<double> attempts;             ///< decayed count from load reports
+    std::vector<double> failures;             ///< decayed count of attempts without a good answer
+    std::vector<double> latencySum;           ///< seconds, decayed, over the successful attempts
+    std::vector<double> saturation;           ///< smoothed fraction of attempts that fail or are late
+    std::vector<double> inFlight;             ///< requests at the endpoint, as it last told
+    std::vector<double> reportsWhenLastSeen;  ///< reports of the whole fleet when its last one came
+    std::vector<double> attemptsWhenLastSeen; ///< attempts of the whole fleet when its last report came
 
+    /// Number of entries, free ones included.
     EndpointIndex size() const { return id.size(); }
-    EndpointIndex add(const EndpointUpdate& entry) {
-        const EndpointIndex next = freeIndexes.empty() ? size() : freeIndexes.back();
-        const auto [at, fresh] = indexById.emplace(entry.id, next);
-        if (!fresh) return at->second;
-        const auto put = [next](auto& figures, auto value) {
-            if (next == figures.size()) figures.emplace_back();
-            figures[next] = value;
-        };
-        if (next < size()) freeIndexes.pop_back();
-        put(zone, entry.zone);
-        put(health, HealthState::Removed);
-        for (auto* one : {&startedAt, &nextProbeAt, &holdUntil, &healthChangedAt, &excludedAt})
-            put(*one, Micros{});
-        for (auto* one : {&slowStartStep, &consecutiveGoodProbes}) put(*one, 0);
-        for (auto* one : {&excluded, &probeInFlight, &hasReported, &weightReduced, &forgotten})
-            put(*one, char{0});
-        for (auto* one : {&listedWeight, &attempts, &failures, &latencySum, &saturation, &inFlight,
-                          &reportsWhenLastSeen, &attemptsWhenLastSeen})
-            put(*one, 0.0);
-        put(id, entry.id);
-        return next;
-    }
-    void forget(EndpointIndex s) {
-        indexById.erase(id[s]);
-        freeIndexes.push_back(s);
-        forgotten[s] = 1;
-        excluded[s] = 0;
-    }
+
+    /// Number of endpoints that are known.
     EndpointIndex knownCount() const { return indexById.size(); }
-    const EndpointIndex* find(EndpointId server) const {
-        const auto found = indexById.find(server);
-        return found == indexById.end() ? nullptr : &found->second;
-    }
-    double sum(const auto& figure) const { ///< of a figure, over all servers
-        double all = 0;
-        for (EndpointIndex s = 0; s < size(); ++s) all += figure(s);
-        return all;
+
+    /// The index of a listed endpoint; a new one gets an entry with all figures at zero.
+    EndpointIndex add(const EndpointUpdate& entry);
+
+    /// Frees the entry of a removed endpoint.
+    void forget(EndpointIndex endpoint);
+
+    /// Null where the endpoint is not known.
+    const EndpointIndex* find(EndpointId endpoint) const;
+
+    /// Sum of `figure(index)` over all entries, in the order of indexes.
+    double sum(const auto& figure) const {
+        double total = 0;
+        for (EndpointIndex endpoint = 0; endpoint < size(); ++endpoint) total += figure(endpoint);
+        return total;
     }
-    double failureRatio(EndpointIndex s) const { return attempts[s] > 0 ? failures[s] / attempts[s] : 0; }
-    double excludedFraction(ZoneId of) const { ///< the part of a zone's servers that is withdrawn
-        double out = 0, all = 0;
-        for (EndpointIndex s = 0; s < size(); ++s)
-            if (zone[s] == of && !forgotten[s]) all += 1, out += excluded[s];
-        return all > 0 ? out / all : 0;
+
+    /// Fraction of attempts that failed; 0 without attempts.
+    double failureRatio(EndpointIndex endpoint) const {
+        return attempts[endpoint] > 0 ? failures[endpoint] / attempts[endpoint] : 0;
     }
-    bool isInService(EndpointIndex s) const {
-        return health[s] == HealthState::Healthy || health[s] == HealthState::Suspect ||
-               health[s] == HealthState::Unlisted;
+
+    /// Fraction of a zone's endpoints that is excluded.
+    double excludedFraction(ZoneId zoneId) const;
+
+    /// Whether it may get work: healthy, suspect or unlisted.
+    bool isInService(EndpointIndex endpoint) const {
+        const HealthState state = health[endpoint];
+        return state == HealthState::Healthy || state == HealthState::Suspect ||
+               state == HealthState::Unlisted;
     }
+
+private:
+    void appendEntry();
+    void resetEntry(EndpointIndex endpoint, const EndpointUpdate& entry);
 };
 
 } // namespace zincstack
--- /dev/null
+++ b/src/planner/outlier_detection.cpp
@@ -0,0 +1,286 @@
+#include "planner/outlier_detection.h"
+
+#include <algorithm>
+#include <array>
+#include <cmath>
+#include <utility>
+
+#include "planner/transition_table.h"
+
+namespace zincstack {
+
+using namespace std::chrono_literals;
+
+namespace {
+
+/// What a second leaves of the figures from load reports: they fade, so that a judgement rests on recent attempts.
+constexpr double kReportDecay = 0.2;
+
+/// What a second leaves of an endpoint's saturation; slower than the reports, since slowness has to last.
+constexpr double kSaturationDecay = 0.5;
+
+/// Distance of a failing endpoint's failure ratio above the fleet's overload: where all fail, none is an outlier.
+constexpr double kOutlierMargin = 0.25;
+
+/// Fraction of the listed weight that may be ejected: if more looks bad, the view is doubted and not the fleet.
+constexpr double kMaxEjectedFraction = 0.34;
+
+/// Views of the whole fleet that must lack an endpoint before it counts as silent.
+constexpr double kSilentReports = 3;
+
+/// Attempts that a silent endpoint's weight made likely meanwhile.
+constexpr double kSilentAttempts = 10;
+
+/// Time that an endpoint stays ejected at least.
+constexpr Micros kMinEjectionTime = 3s;
+
+/// Saturation (fraction of attempts that fail or are late) from which an endpoint counts as slow.
+constexpr double kSlowFraction = 0.4;
+
+/// Fraction of the fleet's weight that has to be well before a slow endpoint is an outlier.
+constexpr double kHealthyQuantile = 0.33;
+
+/// Time after a change of health before an endpoint can count as slow.
+constexpr Micros kSettleTime = 3s;
+
+/// Mean latency from which some of an endpoint's answers count as late, as a fraction of the latency objective.
+constexpr double kLateLatencyStart = 0.4;
+
+/// Mean latency at which all of them do, as a fraction of the latency objective.
+constexpr double kLateLatencyEnd = 1.0;
+
+/// The median endpoint by weight stands for the fleet: a few outliers do not move it.
+constexpr double kMedian = 0.5;
+
+constexpr auto kHealthTransitions = [] {
+    using enum HealthState;
+    using enum HealthEvent;
+    using enum HealthAction;
+    return std::to_array<Transition<HealthState, HealthEvent, HealthAction>>({
+        {Any, Restarted, Healthy, AddToService},
+        {Any, DrainStarted, Removed, NoAction},
+        {Any, RemovedFromList, Removed, NoAction},
+        {Removed, Listed, Healthy, AddToService},
+        {Healthy, MissingFromList, Unlisted, StartProbing},
+        {Suspect, MissingFromList, Unlisted, StartProbing},
+        {Ejected, MissingFromList, Removed, NoAction},
+        {Unlisted, Listed, Healthy, NoAction},
+        {Unlisted, ProbeFailed, Removed, NoAction},
+        {Healthy, ReportsBad, Suspect, StartProbing},
+        {Suspect, ReportsBad, Suspect, StartProbing},
+        {Suspect, ReportsGood, Healthy, NoAction},
+        {Suspect, ProbeFailed, Ejected, Eject},
+        {Suspect, ProbeSlow, Healthy, ReduceWeight},
+        {Ejected, RecoveryConfirmed, Healthy, Readmit},
+        {Suspect, ProbeSucceeded, Healthy, NoAction},
+    });
+}();
+
+} // namespace
+
+void OutlierDetector::updateEndpoints(bool isComplete, std::span<const EndpointUpdate> entries, Micros now) {
+    // The list can wrongly call running endpoints removed: where that is not binding, a health check decides.
+    const HealthEvent removal =
+        safety_.removalIsBinding ? HealthEvent::RemovedFromList : HealthEvent::MissingFromList;
+    std::vector<char> isListed(endpoints_.size(), 0);
+    for (const EndpointUpdate& entry : entries) {
+        const EndpointIndex endpoint = endpoints_.add(entry);
+        if (endpoint < isListed.size()) isListed[endpoint] = 1;
+        const bool hasWeight = fleet_.hasEndpointWeights && entry.weight > 0;
+        endpoints_.listedWeight[endpoint] = hasWeight ? entry.weight : 1;
+        const Micros startedBefore = std::exchange(endpoints_.startedAt[endpoint], entry.startedAt);
+        const bool restarted = entry.startedAt > startedBefore;
+        switch (entry.state) {
+        case EndpointState::Removed: handleEvent(endpoint, removal, now); break;
+        case EndpointState::Ready:
+            handleEvent(endpoint, restarted ? HealthEvent::Restarted : HealthEvent::Listed, now);
+            break;
+        case EndpointState::Draining: handleEvent(endpoint, HealthEvent::DrainStarted, now); break;
+        }
+    }
+    if (!isComplete) return;
+    for (EndpointIndex endpoint = 0; endpoint < isListed.size(); ++endpoint)
+        if (!isListed[endpoint]) handleEvent(endpoint, removal, now);
+}
+
+void OutlierDetector::reportLoad(const EndpointLoadReport& report) {
+    const EndpointIndex* found = endpoints_.find(report.endpoint);
+    if (!found) return;
+    const EndpointIndex endpoint = *found;
+    const double failures = std::min(report.failures, report.attempts);
+    const double successes = report.attempts - failures;
+    hasNewReports_ = true;
+    if (successes > 0) endpoints_.hasReported[endpoint] = 1;
+    reportingZones_.insert(report.proxyZone);
+    ++reportCount_;
+    attemptCount_ += report.attempts;
+    endpoints_.reportsWhenLastSeen[endpoint] = reportCount_;
+    endpoints_.attemptsWhenLastSeen[endpoint] = attemptCount_;
+    endpoints_.attempts[endpoint] += report.attempts;
+    endpoints_.failures[endpoint] += failures;
+    endpoints_.latencySum[endpoint] += successes * seconds(report.meanLatency);
+    endpoints_.inFlight[endpoint] = report.load.inFlight.value_or(report.load.queueLength.value_or(0));
+    successesSinceEvaluation_ += successes;
+}
+
+std::optional<double> OutlierDetector::evaluateReports(double meanLatencyObjective, Micros now) {
+    // Reports come about once an interval: a tenth of it is left for those that come early.
+    const Micros minInterval = fleet_.reportInterval * 9 / 10;
+    if (!hasNewReports_ || now - evaluatedAt_ < minInterval) return {};
+    const Micros sinceEvaluation = evaluatedAt_ > 0us ? now - evaluatedAt_ : 0us;
+    const double span = seconds(std::max(sinceEvaluation, fleet_.reportInterval));
+    fleetLoad_.successRate = std::exchange(successesSinceEvaluation_, 0) / span;
+    fleetLoad_.attemptRate = (attemptCount_ - std::exchange(attemptsAtLastEvaluation_, attemptCount_)) / span;
+    hasNewReports_ = false;
+    evaluatedAt_ = now;
+
+    FleetSamples samples = collectSamples(meanLatencyObjective, span);
+    fleetLoad_.overload = weightedQuantile(samples.saturation, kMedian);
+    if (fleetLoad_.overload <= kOnsetOverload) fleetLoad_.lastCalmAt = now;
+    const double congestion = weightedQuantile(samples.congestion, kMedian);
+    const FleetView view{.totalTargetWeight = totalTargetWeight(endpoints_),
+                         .reportsPerView =
+                             static_cast<double>(endpoints_.knownCount() * reportingZones_.size()),
+                         .healthySaturation = weightedQuantile(samples.saturation, kHealthyQuantile)};
+    const double decay = std::pow(kReportDecay, span);
+    for (EndpointIndex endpoint = 0; endpoint < endpoints_.size(); ++endpoint) {
+        if (endpoints_.isInService(endpoint)) evaluateEndpoint(endpoint, view, now);
+        endpoints_.attempts[endpoint] *= decay;
+        endpoints_.failures[endpoint] *= decay;
+        endpoints_.latencySum[endpoint] *= decay;
+    }
+    if (samples.attempts < kMinAttempts) return {};
+    return congestion;
+}
+
+OutlierDetector::FleetSamples OutlierDetector::collectSamples(double meanLatencyObjective, double span) {
+    FleetSamples samples;
+    for (EndpointIndex endpoint = 0; endpoint < endpoints_.size(); ++endpoint)
+        if (endpoints_.isInService(endpoint) && endpoints_.attempts[endpoint] > 0)
+            addSample(endpoint, meanLatencyObjective, span, samples);
+    return samples;
+}
+
+void OutlierDetector::addSample(EndpointIndex endpoint, double meanLatencyObjective, double span,
+                                FleetSamples& samples) {
+    const double attempts = endpoints_.attempts[endpoint];
+    const double successes = attempts - endpoints_.failures[endpoint];
+    const double meanLatency =
+        successes > 0 ? endpoints_.latencySum[endpoint] / successes / meanLatencyObjective : 1;
+    const double lateFraction =
+        std::clamp((meanLatency - kLateLatencyStart) / (kLateLatencyEnd - kLateLatencyStart), 0.0, 1.0);
+    const double late = successes * lateFraction;
+    const double saturation = (endpoints_.failures[endpoint] + late) / attempts;
+    double& smoothed = endpoints_.saturation[endpoint];
+    smoothed = saturation + std::pow(kSaturationDecay, span) * (smoothed - saturation);
+    const double weight = targetWeight(endpoints_, endpoint);
+    samples.saturation.push_back({saturation, weight});
+    // Failures are a sign of congestion only beside slow answers: shedding load cures no lost answers or errors.
+    const double slowness = std::clamp(2 * meanLatency / kLateLatencyStart - 1, 0.0, 1.0);
+    const double congestion = saturation - (1 - slowness) * endpoints_.failureRatio(endpoint);
+    samples.congestion.push_back({congestion, weight});
+    samples.attempts += attempts;
+}
+
+void OutlierDetector::evaluateEndpoint(EndpointIndex endpoint, const FleetView& view, Micros now) {
+    const bool hasEnoughAttempts = endpoints_.attempts[endpoint] >= kMinAttempts;
+    const bool isOutlier = isSilent(endpoint, view) ||
+                           (hasEnoughAttempts && (isFailing(endpoint) || isSlow(endpoint, view, now)));
+    if (isOutlier)
+        handleEvent(endpoint, HealthEvent::ReportsBad, now);
+    else if (hasEnoughAttempts)
+        handleEvent(endpoint, HealthEvent::ReportsGood, now);
+}
+
+/// Proxies keep away from an endpoint that fails them, so missing reports are a symptom too. A view of the fleet takes
+/// long where reports pile up, so silence is counted in reports and attempts and not in time.
+bool OutlierDetector::isSilent(EndpointIndex endpoint, const FleetView& view) const {
+    if (endpoints_.excluded[endpoint]) return false;
+    const double missedReports = reportCount_ - endpoints_.reportsWhenLastSeen[endpoint];
+    const double missedAttempts = attemptCount_ - endpoints_.attemptsWhenLastSeen[endpoint];
+    return missedReports > kSilentReports * view.reportsPerView &&
+           missedAttempts * targetWeight(endpoints_, endpoint) > kSilentAttempts * view.totalTargetWeight;
+}
+
+bool OutlierDetector::isFailing(EndpointIndex endpoint) const {
+    const double failureRatio = endpoints_.failureRatio(endpoint);
+    return failureRatio >= kOutlierFailureRatio && failureRatio > fleetLoad_.overload + kOutlierMargin;
+}
+
+bool OutlierDetector::isSlow(EndpointIndex endpoint, const FleetView& view, Micros now) const {
+    return endpoints_.saturation[endpoint] >= kSlowFraction && view.healthySaturation < kTargetOverload &&
+           endpoints_.slowStartStep[endpoint] > 1 && now - endpoints_.healthChangedAt[endpoint] > kSettleTime;
+}
+
+void OutlierDetector::handleEvent(EndpointIndex endpoint, HealthEvent event, Micros now) {
+    HealthState& health = endpoints_.health[endpoint];
+    const auto* row =
+        findTransition(kHealthTransitions, health, [event](HealthEvent input) { return input == event; });
+    if (!row || (row->effect == HealthAction::Eject && !mayEject(endpoint))) return;
+    reportTransition(endpoint, row->next);
+    if (row->next == HealthState::Removed && health != HealthState::Removed)
+        endpoints_.healthChangedAt[endpoint] = now;
+    health = row->next;
+    perform(row->effect, endpoint, now);
+}
+
+void OutlierDetector::reportTransition(EndpointIndex endpoint, HealthState next) {
+    const bool isEjected = next == HealthState::Ejected;
+    const bool wasEjected = endpoints_.health[endpoint] == HealthState::Ejected;
+    const EndpointId id = endpoints_.id[endpoint];
+    const double attempts = endpoints_.attempts[endpoint];
+    const double failures = endpoints_.failures[endpoint];
+    if (isEjected && !wasEjected) sink_.report(EndpointEjected{id, attempts, failures});
+    if (!isEjected && wasEjected) sink_.report(EndpointReadmitted{id, attempts, failures});
+}
+
+void OutlierDetector::perform(HealthAction action, EndpointIndex endpoint, Micros now) {
+    int& step = endpoints_.slowStartStep[endpoint];
+    switch (action) {
+    case HealthAction::NoAction: return;
+    case HealthAction::StartProbing: endpoints_.nextProbeAt[endpoint] = now; return;
+    case HealthAction::Eject: holdWeight(endpoint, false, now); return;
+    case HealthAction::ReduceWeight:
+        holdWeight(endpoint, true, now);
+        if (step > 1) --step;
+        break;
+    case HealthAction::AddToService: {
+        // At full weight only if it is warm and no report has come of any endpoint; otherwise step by step.
+        const bool isStartup = slowStart_.warmUpFraction(endpoint, now) >= 1 && reportCount_ <= 0;
+        step = isStartup ? kSlowStartSteps : 1;
+        endpoints_.hasReported[endpoint] = 0;
+        break;
+    }
+    case HealthAction::Readmit: step = 1; break; // if it restarted meanwhile, the endpoint list will say so
+    }
+    restartObservation(endpoint, now);
+}
+
+void OutlierDetector::holdWeight(EndpointIndex endpoint, bool isReduced, Micros now) {
+    endpoints_.weightReduced[endpoint] = isReduced;
+    endpoints_.holdUntil[endpoint] = now + (isReduced ? kMinReducedTime : kMinEjectionTime);
+    endpoints_.nextProbeAt[endpoint] = now + kProbeInterval;
+    endpoints_.consecutiveGoodProbes[endpoint] = 0;
+}
+
+void OutlierDetector::restartObservation(EndpointIndex endpoint, Micros now) {
+    endpoints_.healthChangedAt[endpoint] = now;
+    endpoints_.reportsWhenLastSeen[endpoint] = reportCount_;
+    endpoints_.attemptsWhenLastSeen[endpoint] = attemptCount_;
+    endpoints_.attempts[endpoint] = 0;
+    endpoints_.failures[endpoint] = 0;
+    endpoints_.latencySum[endpoint] = 0;
+}
+
+bool OutlierDetector::mayEject(EndpointIndex endpoint) const {
+    const auto ejectedWeight = [&](EndpointIndex other) {
+        const bool isOut = endpoints_.health[other] == HealthState::Ejected || other == endpoint;
+        return isOut ? endpoints_.listedWeight[other] : 0.0;
+    };
+    const auto weight = [&](EndpointIndex other) {
+        return endpoints_.isInService(other) ? endpoints_.listedWeight[other] : ejectedWeight(other);
+    };
+    return endpoints_.sum(ejectedWeight) <= kMaxEjectedFraction * endpoints_.sum(weight);
+}
+
+} // namespace zincstack
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -113,7 +113,7 @@
 
 void CoeusPlanner::proxyJoined(ProxyId id, ZoneId zone, double expectedRate, bool hasOnlyBootstrapTable) {
     proxyLeft(id);
-    const EndpointIndex classCount = admission_.requestClasses.size();
+    const EndpointIndex classCount = admission_.requestClassCount();
     proxies_[id] = {
         .zone = zone,
         .hasOnlyBootstrapTable = hasOnlyBootstrapTable,
@@ -125,7 +125,7 @@
 void CoeusPlanner::reportDemand(const DemandReport& report) {
     const auto found = proxies_.find(report.proxy);
     if (found == proxies_.end() || report.interval <= 0us) return;
-    if (report.requestClass.value >= admission_.requestClasses.size()) return;
+    if (report.requestClass.value >= admission_.requestClassCount()) return;
     double& rate = found->second.demand[report.requestClass.value];
     const double reportedRate = report.requests / seconds(report.interval);
     rate = reportedRate + std::pow(kDemandDecay, seconds(report.interval)) * (rate - reportedRate);
@@ -167,10 +167,13 @@
 
 /// Updates the endpoints' health from the load reports, and the admission from the overload that they show.
 void CoeusPlanner::evaluateReports() {
-    const auto overload = health_.evaluateReports(admission_.meanLatencyObjective(proxies_), now_);
-    if (!overload) return;
-    admission_.updateForOverload(*overload, health_.attemptRate, health_.successRate,
-                                 totalTargetWeight(endpoints_), proxies_);
+    const auto congestion = health_.evaluateReports(admission_.meanLatencyObjective(proxies_), now_);
+    if (!congestion) return;
+    admission_.updateForOverload({.congestion = *congestion,
+                                  .attemptRate = health_.fleetLoad().attemptRate,
+                                  .successRate = health_.fleetLoad().successRate,
+                                  .totalTargetWeight = totalTargetWeight(endpoints_)},
+                                 proxies_);
 }
 
 void CoeusPlanner::advanceSlowStart() {
--- /dev/null
+++ b/src/planner/slow_start.cpp
@@ -0,0 +1,108 @@
+#include "planner/slow_start.h"
+
+#include <algorithm>
+
+namespace zincstack {
+
+using namespace std::chrono_literals;
+
+namespace {
+
+/// Lead of the weight over the capacity of the slowest warm-up that the settings allow. A round is shorter than a
+/// warm-up, so without it an endpoint would often wait a whole round for a step that is nearly due.
+constexpr double kWarmUpLead = 1.25;
+
+/// Fraction of the overload factor that an endpoint may be brought while it warms up.
+constexpr double kOverloadMargin = 0.75;
+
+/// An endpoint steps down only above this multiple of the rate up to which it may climb (hysteresis).
+constexpr double kStepDownFactor = 1.5;
+
+/// Time until admission limits show in the load reports.
+constexpr Micros kOnsetTime = 3s;
+
+/// At the onset of overload an endpoint below this fraction of its capacity gets no work: proxies that avoid failing
+/// endpoints heap their requests on those that answer.
+constexpr double kNearlyWarm = 0.75;
+
+} // namespace
+
+double SlowStart::warmUpFraction(EndpointIndex endpoint, Micros now) const {
+    if (endpoints_.startedAt[endpoint] <= 0us || safety_.warmUpDuration <= 0us) return 1;
+    const double age = seconds(now - endpoints_.startedAt[endpoint]) / seconds(safety_.warmUpDuration);
+    return safety_.coldCapacityFraction + (1 - safety_.coldCapacityFraction) * std::clamp(age, 0.0, 1.0);
+}
+
+void SlowStart::advance(const FleetLoad& load, double demand, bool mayClimb, Micros now) {
+    const FleetView fleet = viewFleet(load, demand, mayClimb, now);
+    for (EndpointIndex endpoint = 0; endpoint < endpoints_.size(); ++endpoint) {
+        const bool isComplete = endpoints_.slowStartStep[endpoint] == kSlowStartSteps;
+        if (endpoints_.isInService(endpoint) && !isComplete) advanceEndpoint(endpoint, fleet);
+    }
+}
+
+SlowStart::FleetView SlowStart::viewFleet(const FleetLoad& load, double demand, bool mayClimb,
+                                          Micros now) const {
+    FleetView fleet{.load = load,
+                    .demand = demand,
+                    .totalTargetWeight = totalTargetWeight(endpoints_),
+                    .totalListedWeight = 0,
+                    .mayClimb = mayClimb,
+                    .isOverloadOnset = load.overload > kOnsetOverload && now - load.lastCalmAt < kOnsetTime,
+                    .hasWarmEndpoint = false,
+                    .now = now};
+    for (EndpointIndex endpoint = 0; endpoint < endpoints_.size(); ++endpoint) {
+        if (!endpoints_.isInService(endpoint)) continue;
+        fleet.totalListedWeight += endpoints_.listedWeight[endpoint];
+        fleet.hasWarmEndpoint |= targetWeight(endpoints_, endpoint) > 0 &&
+                                 warmUpFraction(endpoint, now) >= 1 && !endpoints_.excluded[endpoint];
+    }
+    return fleet;
+}
+
+void SlowStart::advanceEndpoint(EndpointIndex endpoint, const FleetView& fleet) {
+    int& step = endpoints_.slowStartStep[endpoint];
+    const int lowestStep = fleet.hasWarmEndpoint ? 0 : 1; // somebody has to take the work
+    step = std::max(step, lowestStep);
+    if (canStepUp(endpoint, fleet)) {
+        ++step;
+        if (endpoints_.weightReduced[endpoint]) endpoints_.holdUntil[endpoint] = fleet.now + kMinReducedTime;
+    }
+    while (step > lowestStep && mustStepDown(endpoint, fleet)) --step;
+}
+
+bool SlowStart::canStepUp(EndpointIndex endpoint, const FleetView& fleet) const {
+    if (!fleet.mayClimb || fleet.isOverloadOnset || fleet.now < endpoints_.holdUntil[endpoint]) return false;
+    const double warmUp = warmUpFraction(endpoint, fleet.now);
+    const bool isWarmingUp = warmUp < 1;
+    // The endpoint list can name endpoints that are none of the fleet: a warm one climbs once it has answered.
+    if (!endpoints_.hasReported[endpoint] && !isWarmingUp) return false;
+    const int next = endpoints_.slowStartStep[endpoint] + 1;
+    if (next > kSlowStartSteps * kWarmUpLead * warmUp) return false;
+    const bool hasRateLimit = fleet.load.successRate > 0 && isWarmingUp;
+    return !hasRateLimit || expectedRate(endpoint, next, fleet) <= safeRate(endpoint, fleet);
+}
+
+bool SlowStart::mustStepDown(EndpointIndex endpoint, const FleetView& fleet) const {
+    const double warmUp = warmUpFraction(endpoint, fleet.now);
+    if (fleet.load.successRate <= 0 || warmUp >= 1) return false;
+    if (fleet.isOverloadOnset && warmUp < kNearlyWarm) return true;
+    const double expected = expectedRate(endpoint, endpoints_.slowStartStep[endpoint], fleet);
+    return expected > kStepDownFactor * safeRate(endpoint, fleet);
+}
+
+/// Requests per second that the endpoint can surely carry at its age: its listed share of what the fleet completes.
+double SlowStart::safeRate(EndpointIndex endpoint, const FleetView& fleet) const {
+    return kOverloadMargin * safety_.overloadFactor * warmUpFraction(endpoint, fleet.now) *
+           (1 - fleet.load.overload) * fleet.load.successRate * endpoints_.listedWeight[endpoint] /
+           fleet.totalListedWeight;
+}
+
+/// Requests per second that the endpoint would be brought at a step.
+double SlowStart::expectedRate(EndpointIndex endpoint, int step, const FleetView& fleet) const {
+    const double weight = endpoints_.listedWeight[endpoint] * step / kSlowStartSteps;
+    const double total = fleet.totalTargetWeight - targetWeight(endpoints_, endpoint) + weight;
+    return fleet.demand * weight / std::max(total, weight);
+}
+
+} // namespace zincstack
--- a/src/planner/transition_table.h
+++ b/src/planner/transition_table.h
@@ -1,4 +1,7 @@
-// State machines as tables: a row names a state, an input, the next state and the action that follows.
+// State machines as tables, so that all states and what ends them can be read at a glance.
+//
+// A table is an array of `Transition` rows. The first row whose state and input apply is taken; a row whose state is
+// the enumerator `Any` applies in every state, so every state enumeration has one. No state is kept here.
 #pragma once
 
 #include <algorithm>
@@ -6,7 +9,7 @@
 
 namespace zincstack {
 
-/// A row of a decision table: state, input, next state and effect; `read` finds the one that applies.
+/// One row: in `state`, `input` leads to the state `next` and to the action `effect`.
 template <class State, class Input, class Effect>
 struct Transition {
     State state;
@@ -14,11 +17,14 @@
     State next;
     Effect effect;
 };
+
+/// The first row that applies in `state` and whose input satisfies `holds`; null if there is none.
 const auto* findTransition(const auto& rows, auto state, const auto& holds) {
-    const auto at = std::find_if(std::begin(rows), std::end(rows), [&](const auto& row) {
+    const auto applies = [&](const auto& row) {
         return (row.state == state || row.state == decltype(state)::Any) && holds(row.input);
-    });
-    return at == std::end(rows) ? nullptr : &*at;
+    };
+    const auto found = std::find_if(std::begin(rows), std::end(rows), applies);
+    return found == std::end(rows) ? nullptr : &*found;
 }
 
 } // namespace zincstack
