--- a/bench/bench.h
+++ b/bench/bench.h
@@ -11,6 +11,7 @@
 
 nlohmann::ordered_json pubsub(bool quick);
 nlohmann::ordered_json json(bool quick);
+nlohmann::ordered_json planner(bool quick);
 
 /// The value that so many hundredths of them do not pass; 0 where there are none.
 inline double percentile(std::vector<double> values, double hundredths) {
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -27,7 +27,7 @@
 int main(int count, char** words) {
     using namespace zincstack;
     constexpr std::pair<std::string_view, nlohmann::ordered_json (*)(bool)> kAll[] = {
-        {"pubsub", bench::pubsub}, {"json", bench::json}};
+        {"pubsub", bench::pubsub}, {"json", bench::json}, {"planner", bench::planner}};
     log::start(log::Format::Text, log::Level::Critical);
     const bool quick = count > 2 && std::string_view(words[2]) == "--quick";
     for (const auto& [name, measure] : kAll)
