--- a/tests/digest_decisions.cpp
+++ b/tests/digest_decisions.cpp
@@ -1,4 +1,6 @@
 // Recorded days of the decision module: every order with its arguments, in the order in which it was given.
+#include <algorithm>
+
 #include "digest_days.h"
 #include "proxy_model.h"
 
@@ -15,7 +17,7 @@
 enum class Condition { Well, FewFail, FewAreSlow, FewAreSilent, AllAreSlow, MostFail };
 
 /// A model of proxies and their channel that records each order that it is given.
-class RecordingWorld : public World {
+class RecordingModel : public ProxyModel {
 public:
     RecordedDay day;
     bool channelIsCounted = false; ///< the caller can tell what waits, so that starter tables are used
@@ -25,18 +27,18 @@
         countLine(table, server, weight);
         record("setLine",
                {{"table", number(table)}, {"server", number(server)}, {"weight", exactText(weight)}});
-        World::setWeight(table, server, weight);
+        ProxyModel::setWeight(table, server, weight);
     }
     void assignTable(ProxyId proxy, RequestClassSet set, TableId table) override {
         if (isStarter(table)) ++day.coverage["starter table bound"];
         record("bind",
                {{"proxy", number(proxy)}, {"products", std::to_string(set)}, {"table", number(table)}});
-        World::assignTable(proxy, set, table);
+        ProxyModel::assignTable(proxy, set, table);
     }
     void setExcluded(EndpointId server, bool out) override {
         record("withdraw", {{"server", number(server)}, {"out", std::to_string(out)}});
         ++day.coverage[out ? "server shut out" : "server let back"];
-        World::setExcluded(server, out);
+        ProxyModel::setExcluded(server, out);
     }
     void setAdmission(std::optional<TableId> table, RequestClassSet set, double level,
                       RetryPolicy tries) override {
@@ -44,31 +46,31 @@
                          {"products", std::to_string(set)},
                          {"level", exactText(level)},
                          {"tries", std::to_string(static_cast<int>(tries))}});
-        World::setAdmission(table, set, level, tries);
+        ProxyModel::setAdmission(table, set, level, tries);
     }
     void requestBarrier(BarrierId mark, bool everyProxy) override {
         record("mark", {{"number", number(mark)}, {"everyProxy", std::to_string(everyProxy)}});
-        World::requestBarrier(mark, everyProxy);
+        ProxyModel::requestBarrier(mark, everyProxy);
     }
     void probe(EndpointId server) override {
         record("probe", {{"server", number(server)}});
-        World::probe(server);
+        ProxyModel::probe(server);
     }
     void subscribeToEndpoints() override {
         record("followList", {});
-        World::subscribeToEndpoints();
+        ProxyModel::subscribeToEndpoints();
     }
     void scheduleWakeUp(Micros span) override {
         record("wakeAfter", {{"span", std::to_string(span.count())}});
-        World::scheduleWakeUp(span);
+        ProxyModel::scheduleWakeUp(span);
     }
     bool forgetEndpoint(EndpointId server) override {
-        const bool done = World::forgetEndpoint(server);
+        const bool done = ProxyModel::forgetEndpoint(server);
         record("forget", {{"server", number(server)}, {"done", std::to_string(done)}});
         return done;
     }
     bool clearStaleExclusions(ProxyId proxy, std::size_t most) override {
-        const bool done = World::clearStaleExclusions(proxy, most);
+        const bool done = ProxyModel::clearStaleExclusions(proxy, most);
         record("letBack",
                {{"proxy", number(proxy)}, {"most", std::to_string(most)}, {"done", std::to_string(done)}});
         return done;
@@ -102,18 +104,18 @@
         if (isStarter(table)) ++day.coverage["starter table line"];
         const auto before = tables[table].find(server);
         const bool lowered = before != tables[table].end() && weight > 0 && weight < before->second;
-        if (lowered && known[server].entry.startedAt == 0us) ++day.coverage["warm server lowered"];
+        if (lowered && listed[server].entry.startedAt == 0us) ++day.coverage["warm server lowered"];
     }
 };
 
-/// Plays one day on a recording world.
+/// Plays one day on a recording model.
 class DecisionsDay {
 public:
     explicit DecisionsDay(std::uint64_t seed)
         : seconds_(seed % kLongDayEvery == 0 ? kSecondsOfLongDay : kSeconds), numbers_(seed) {
         chooseTerms(seed);
         addServers();
-        world_.start(seed);
+        model_.start(seed);
         const auto proxies = numbers_.between(4, 24);
         for (std::uint16_t proxy = 0; proxy < proxies; ++proxy) join(proxy);
     }
@@ -126,45 +128,45 @@
             passPart();
             if (numbers_.chance(0.85)) answerProbes();
         }
-        return std::move(world_.day);
+        return std::move(model_.day);
     }
 
 private:
     void chooseTerms(std::uint64_t seed) {
-        world_.checksRules = false;
-        world_.channelIsCounted = seed % 2 == 1;
-        world_.forgets = numbers_.chance(0.5);
-        world_.tellsOnce = numbers_.chance(0.5);
-        world_.fleet.zoneCount = static_cast<std::uint8_t>(numbers_.between(1, 3));
-        world_.fleet.hasEndpointWeights = numbers_.chance(0.7);
-        world_.fleet.mustSubscribeToEndpoints = numbers_.chance(0.2);
-        world_.fleet.probingAllowed = numbers_.chance(0.9);
-        world_.forwarders.throttleMode =
+        model_.checksRules = false;
+        model_.channelIsCounted = seed % 2 == 1;
+        model_.forgetsEndpoints = numbers_.chance(0.5);
+        model_.sendsExclusionsOnce = numbers_.chance(0.5);
+        model_.fleet.zoneCount = static_cast<std::uint8_t>(numbers_.between(1, 3));
+        model_.fleet.hasEndpointWeights = numbers_.chance(0.7);
+        model_.fleet.mustSubscribeToEndpoints = numbers_.chance(0.2);
+        model_.fleet.probingAllowed = numbers_.chance(0.9);
+        model_.proxyFleet.throttleMode =
             numbers_.oneOf({ThrottleMode::None, ThrottleMode::Fraction, ThrottleMode::Rate});
-        world_.forwarders.bootstrapTableSize = static_cast<std::uint32_t>(numbers_.between(2, 6));
-        world_.channel.maxMessagesPerProxy = numbers_.oneOf({0U, 0U, 6U, 30U});
-        world_.channel.linesPerSecond = numbers_.oneOf({400.0, 4000.0, 7000.0});
-        world_.channel.maxQueuedLines = numbers_.oneOf({500.0, 4000.0, 20000.0});
-        world_.guards.removalIsBinding = numbers_.chance(0.7);
-        for (RequestClassConfig& product : world_.products) product.zoneLocal = numbers_.chance(0.25);
-        world_.wholeTables = countWholeTables();
+        model_.proxyFleet.bootstrapTableSize = static_cast<std::uint32_t>(numbers_.between(2, 6));
+        model_.channel.maxMessagesPerProxy = numbers_.oneOf({0U, 0U, 6U, 30U});
+        model_.channel.linesPerSecond = numbers_.oneOf({400.0, 4000.0, 7000.0});
+        model_.channel.maxQueuedLines = numbers_.oneOf({500.0, 4000.0, 20000.0});
+        model_.safety.removalIsBinding = numbers_.chance(0.7);
+        for (RequestClassConfig& product : model_.requestClasses) product.zoneLocal = numbers_.chance(0.25);
+        model_.wholeTables = countWholeTables();
         busyZone_ = numbers_.chance(0.4);
     }
     /// The planner has a table of each zone for all products of one zone only, and for all others.
     std::size_t countWholeTables() const {
         std::size_t groups = 0;
         for (const bool ownZone : {false, true})
-            groups += std::ranges::count(world_.products, ownZone, &RequestClassConfig::zoneLocal) > 0;
-        return groups * world_.fleet.zoneCount;
+            groups += std::ranges::count(model_.requestClasses, ownZone, &RequestClassConfig::zoneLocal) > 0;
+        return groups * model_.fleet.zoneCount;
     }
     std::uint8_t zoneOf(std::uint64_t id) const {
-        return static_cast<std::uint8_t>(id % world_.fleet.zoneCount);
+        return static_cast<std::uint8_t>(id % model_.fleet.zoneCount);
     }
     void addServers() {
         const auto count = numbers_.between(4, 30);
         for (std::uint64_t id = 0; id < count; ++id) {
-            world_.server(id, static_cast<double>(numbers_.between(1, 3)), zoneOf(id));
-            if (numbers_.chance(0.1)) world_.known[{id}].entry.startedAt = world_.now - anyMicros(20s);
+            model_.addEndpoint(id, static_cast<double>(numbers_.between(1, 3)), zoneOf(id));
+            if (numbers_.chance(0.1)) model_.listed[{id}].entry.startedAt = model_.now - anyMicros(20s);
         }
     }
     Micros anyMicros(Micros end) {
@@ -175,24 +177,26 @@
     void join(std::uint16_t proxy) {
         const bool hasWholeTable = numbers_.chance(0.3);
         std::set<EndpointId> holds;
-        for (const auto& [id, one] : world_.known)
+        for (const auto& [id, one] : model_.listed)
             if (one.entry.state != EndpointState::Removed && numbers_.chance(hasWholeTable ? 0.95 : 0.2))
                 holds.insert(id);
-        world_.join(proxy, zoneOf(proxy), rateOf(proxy), std::move(holds));
+        model_.join(proxy, zoneOf(proxy), rateOf(proxy), std::move(holds));
     }
     EndpointId anyServer() {
-        return std::next(world_.known.begin(),
-                         static_cast<std::ptrdiff_t>(numbers_.below(world_.known.size())))
+        return std::next(model_.listed.begin(),
+                         static_cast<std::ptrdiff_t>(numbers_.below(model_.listed.size())))
             ->first;
     }
 
     void happen() {
         switch (numbers_.below(14)) {
         case 0:
-        case 1: world_.news(anyServer().value, EndpointState::Draining); break;
-        case 2: world_.news(anyServer().value, EndpointState::Removed); break;
-        case 3: world_.news(anyServer().value, EndpointState::Ready); break;
-        case 4: world_.news(anyServer().value, EndpointState::Ready, world_.now - anyMicros(12s)); break;
+        case 1: model_.updateEndpoint(anyServer().value, EndpointState::Draining); break;
+        case 2: model_.updateEndpoint(anyServer().value, EndpointState::Removed); break;
+        case 3: model_.updateEndpoint(anyServer().value, EndpointState::Ready); break;
+        case 4:
+            model_.updateEndpoint(anyServer().value, EndpointState::Ready, model_.now - anyMicros(12s));
+            break;
         case 5:
         case 6:
         case 7: startServers(); break;
@@ -200,30 +204,31 @@
         case 9: join(static_cast<std::uint16_t>(numbers_.below(24))); break;
         case 10: release(); break;
         case 11: tellWholeList(); break;
-        case 12: world_.slow = numbers_.chance(0.5) ? 1 : 1 + 4 * numbers_.share(); break;
+        case 12: model_.slowdown = numbers_.chance(0.5) ? 1 : 1 + 4 * numbers_.share(); break;
         default:
-            if (numbers_.chance(0.4)) world_.restart(numbers_.below(1000));
+            if (numbers_.chance(0.4)) model_.restart(numbers_.below(1000));
         }
     }
     void startServers() {
         for (auto count = numbers_.between(1, 4); count > 0; --count) {
             const std::uint64_t id = nextServer_++;
-            EndpointUpdate& entry = world_.known[{id}].entry;
+            EndpointUpdate& entry = model_.listed[{id}].entry;
             entry.weight = static_cast<double>(numbers_.between(1, 3));
             entry.zone = {zoneOf(id)};
-            world_.news(id, EndpointState::Ready, numbers_.chance(0.5) ? 0us : world_.now - anyMicros(2s));
+            model_.updateEndpoint(id, EndpointState::Ready,
+                                  numbers_.chance(0.5) ? 0us : model_.now - anyMicros(2s));
         }
     }
     /// Some servers end while others take their place.
     void release() {
         for (auto count = numbers_.between(1, 5); count > 0; --count)
-            world_.news(anyServer().value, EndpointState::Draining);
+            model_.updateEndpoint(anyServer().value, EndpointState::Draining);
         startServers();
     }
     void leaveOrCome() {
         const auto proxy = static_cast<std::uint16_t>(numbers_.below(24));
-        if (world_.proxies.contains({proxy}))
-            world_.leave(proxy);
+        if (model_.proxies.contains({proxy}))
+            model_.leave(proxy);
         else
             join(proxy);
     }
@@ -231,12 +236,12 @@
         const auto news = numbers_.oneOf({EndpointListUpdate::Cached, EndpointListUpdate::Snapshot,
                                           EndpointListUpdate::Snapshot, EndpointListUpdate::PollFailed});
         std::vector<EndpointUpdate> entries;
-        for (auto& [id, one] : world_.known) {
+        for (auto& [id, one] : model_.listed) {
             const bool named = one.entry.state != EndpointState::Removed && !numbers_.chance(0.03);
             if (!named) one.entry.state = EndpointState::Removed;
             if (named && news != EndpointListUpdate::PollFailed) entries.push_back(one.entry);
         }
-        world_.batch([&] { world_.planner->updateEndpoints(news, entries); });
+        model_.batch([&] { model_.planner->updateEndpoints(news, entries); });
     }
 
     void changeCondition(int second) {
@@ -264,39 +269,39 @@
     /// The sums of a second: each zone's proxies on each server, and each proxy on each product.
     void report() {
         double rate = 0;
-        for (const auto& [id, proxy] : world_.proxies) rate += rateOf(id.value);
-        const double lines = static_cast<double>(world_.known.size()) * world_.fleet.zoneCount;
+        for (const auto& [id, proxy] : model_.proxies) rate += rateOf(id.value);
+        const double lines = static_cast<double>(model_.listed.size()) * model_.fleet.zoneCount;
         const auto tries = static_cast<std::uint32_t>(rate * (0.7 + numbers_.share()) / lines) + 3;
-        world_.batch([&] {
-            for (const auto& [id, one] : world_.known)
-                if (one.entry.state == EndpointState::Ready && !world_.withdrawn.contains(id))
+        model_.batch([&] {
+            for (const auto& [id, one] : model_.listed)
+                if (one.entry.state == EndpointState::Ready && !model_.excluded.contains(id))
                     reportServer(id, tries);
-            for (const auto& [id, proxy] : world_.proxies) reportUsage(id);
+            for (const auto& [id, proxy] : model_.proxies) reportUsage(id);
         });
     }
     void reportServer(EndpointId server, std::uint32_t tries) {
         if (condition_ == Condition::FewAreSilent && isAffected(server)) return;
-        for (std::uint8_t zone = 0; zone < world_.fleet.zoneCount; ++zone) {
+        for (std::uint8_t zone = 0; zone < model_.fleet.zoneCount; ++zone) {
             EndpointLoadReport sums{
                 .endpoint = server, .proxyZone = {zone}, .attempts = tries, .interval = 1s, .load = {}};
             sums.failures = static_cast<std::uint32_t>(tries * failingShare(server));
             if (sums.failures < tries) sums.meanLatency = delayOf(server);
             if (numbers_.chance(0.5)) sums.load.inFlight = isAffected(server) ? 40 : 5 * numbers_.share();
             if (numbers_.chance(0.2)) sums.load.queueLength = 10 * numbers_.share();
-            world_.planner->reportLoad(sums);
+            model_.planner->reportLoad(sums);
         }
     }
     void reportUsage(ProxyId proxy) {
-        for (std::uint16_t product = 0; product < world_.products.size(); ++product) {
-            const double each = rateOf(proxy.value) / static_cast<double>(world_.products.size());
+        for (std::uint16_t product = 0; product < model_.requestClasses.size(); ++product) {
+            const double each = rateOf(proxy.value) / static_cast<double>(model_.requestClasses.size());
             const auto txns = static_cast<std::uint32_t>(each * (0.8 + 0.4 * numbers_.share()));
-            world_.planner->reportDemand({proxy, {product}, txns, txns / 10, 1s});
+            model_.planner->reportDemand({proxy, {product}, txns, txns / 10, 1s});
         }
     }
     void answerProbes() {
-        const auto asked = std::exchange(world_.probes, {});
-        world_.batch([&] {
-            for (const EndpointId server : asked) world_.planner->probeCompleted(probeResult(server));
+        const auto asked = std::exchange(model_.probes, {});
+        model_.batch([&] {
+            for (const EndpointId server : asked) model_.planner->probeCompleted(probeResult(server));
         });
     }
     ProbeResult probeResult(EndpointId server) {
@@ -309,11 +314,11 @@
         if (numbers_.chance(0.3)) result.load.inFlight = 40 * numbers_.share();
         return result;
     }
-    void passPart() { world_.pass(50ms * static_cast<std::int64_t>(numbers_.between(4, 16))); }
+    void passPart() { model_.advance(50ms * static_cast<std::int64_t>(numbers_.between(4, 16))); }
 
     const int seconds_;
     SeededNumbers numbers_;
-    RecordingWorld world_;
+    RecordingModel model_;
     Condition condition_ = Condition::Well;
     std::set<EndpointId> affected_;
     int changesAt_ = 3;
