--- a/src/planner/outlier_detection.cpp
+++ b/src/planner/outlier_detection.cpp
@@ -257,7 +257,7 @@
 }
 
 void OutlierDetector::holdWeight(EndpointIndex endpoint, bool isReduced, Micros now) {
-    endpoints_.weightReduced[endpoint] = isReduced;
+    endpoints_.weightReduced[endpoint] = isReduced ? 1 : 0;
     endpoints_.holdUntil[endpoint] = now + (isReduced ? kMinReducedTime : kMinEjectionTime);
     endpoints_.nextProbeAt[endpoint] = now + kProbeInterval;
     endpoints_.consecutiveGoodProbes[endpoint] = 0;
--- a/tests/admission_control_test.cpp
+++ b/tests/admission_control_test.cpp
@@ -28,12 +28,12 @@
         model.join(proxy, static_cast<std::uint8_t>(proxy % 2), 40, {{1}, {2}});
     const auto slowLatency = [](auto) { return Micros(3s); };
     for (int second = 0; second < 4; ++second) {
-        model.reportLoad(3, noFailures, slowLatency);
+        model.reportLoad(3, kNoFailures, slowLatency);
         model.advance(1s);
     }
     for (const auto& [requestClasses, limit] : model.admissionLimits) EXPECT_EQ(limit, 1);
     for (int second = 0; second < 4; ++second) {
-        model.reportLoad(20, noFailures, slowLatency);
+        model.reportLoad(20, kNoFailures, slowLatency);
         model.advance(1s);
     }
     EXPECT_LT(model.admissionLimits.back().second, 1);
--- a/tests/digest_decisions.cpp
+++ b/tests/digest_decisions.cpp
@@ -1,4 +1,4 @@
-// Recorded days of the decision module: every order with its arguments, in the order in which it was given.
+// Recorded days of the decisions: every routing update with its arguments, in the order in which it was given.
 #include <algorithm>
 
 #include "digest_days.h"
@@ -9,52 +9,53 @@
 namespace {
 
 constexpr int kSeconds = 40;
-constexpr int kSecondsOfLongDay = 100; // servers that are slowed are held for a minute
+constexpr int kSecondsOfLongDay = 100; // a reduced weight is kept for a minute
 constexpr std::uint64_t kLongDayEvery = 10;
-constexpr std::uint64_t kListedLater = 100; // ids of servers that start during the day begin here
+constexpr std::uint64_t kListedLater = 100; // ids of endpoints that start during the day begin here
 
-/// What the sums of a while look like.
-enum class Condition { Well, FewFail, FewAreSlow, FewAreSilent, AllAreSlow, MostFail };
+/// What the load reports of a while look like.
+enum class Condition { Healthy, FewFail, FewAreSlow, FewAreSilent, AllAreSlow, MostFail };
 
-/// A model of proxies and their channel that records each order that it is given.
+/// A model of proxies and their channel that records each routing update that it is given. The recorded texts are part of
+/// the digests, so they keep the words with which the digests were made.
 class RecordingModel : public ProxyModel {
 public:
     RecordedDay day;
-    bool channelIsCounted = false; ///< the caller can tell what waits, so that starter tables are used
-    std::size_t wholeTables = 0;   ///< tables with higher ids are starter tables
+    bool channelIsCounted = false; ///< the caller counts the lines that wait, so that subset tables are used
+    std::size_t fullTables = 0;    ///< tables with higher ids are subset tables
 
-    void setWeight(TableId table, EndpointId server, double weight) override {
-        countLine(table, server, weight);
+    void setWeight(TableId table, EndpointId endpoint, double weight) override {
+        countLine(table, endpoint, weight);
         record("setLine",
-               {{"table", number(table)}, {"server", number(server)}, {"weight", exactText(weight)}});
-        ProxyModel::setWeight(table, server, weight);
+               {{"table", number(table)}, {"server", number(endpoint)}, {"weight", exactText(weight)}});
+        ProxyModel::setWeight(table, endpoint, weight);
     }
     void assignTable(ProxyId proxy, RequestClassSet set, TableId table) override {
-        if (isStarter(table)) ++day.coverage["starter table bound"];
+        if (isSubset(table)) ++day.coverage["subset table assigned"];
         record("bind",
                {{"proxy", number(proxy)}, {"products", std::to_string(set)}, {"table", number(table)}});
         ProxyModel::assignTable(proxy, set, table);
     }
-    void setExcluded(EndpointId server, bool out) override {
-        record("withdraw", {{"server", number(server)}, {"out", std::to_string(out)}});
-        ++day.coverage[out ? "server shut out" : "server let back"];
-        ProxyModel::setExcluded(server, out);
+    void setExcluded(EndpointId endpoint, bool out) override {
+        record("withdraw", {{"server", number(endpoint)}, {"out", std::to_string(out)}});
+        ++day.coverage[out ? "endpoint excluded" : "endpoint readmitted"];
+        ProxyModel::setExcluded(endpoint, out);
     }
-    void setAdmission(std::optional<TableId> table, RequestClassSet set, double level,
-                      RetryPolicy tries) override {
+    void setAdmission(std::optional<TableId> table, RequestClassSet set, double limit,
+                      RetryPolicy retryPolicy) override {
         record("admit", {{"table", table ? number(*table) : "all"},
                          {"products", std::to_string(set)},
-                         {"level", exactText(level)},
-                         {"tries", std::to_string(static_cast<int>(tries))}});
-        ProxyModel::setAdmission(table, set, level, tries);
+                         {"level", exactText(limit)},
+                         {"tries", std::to_string(static_cast<int>(retryPolicy))}});
+        ProxyModel::setAdmission(table, set, limit, retryPolicy);
     }
-    void requestBarrier(BarrierId mark, bool everyProxy) override {
-        record("mark", {{"number", number(mark)}, {"everyProxy", std::to_string(everyProxy)}});
-        ProxyModel::requestBarrier(mark, everyProxy);
+    void requestBarrier(BarrierId barrier, bool everyProxy) override {
+        record("mark", {{"number", number(barrier)}, {"everyProxy", std::to_string(everyProxy)}});
+        ProxyModel::requestBarrier(barrier, everyProxy);
     }
-    void probe(EndpointId server) override {
-        record("probe", {{"server", number(server)}});
-        ProxyModel::probe(server);
+    void probe(EndpointId endpoint) override {
+        record("probe", {{"server", number(endpoint)}});
+        ProxyModel::probe(endpoint);
     }
     void subscribeToEndpoints() override {
         record("followList", {});
@@ -64,9 +65,9 @@
         record("wakeAfter", {{"span", std::to_string(span.count())}});
         ProxyModel::scheduleWakeUp(span);
     }
-    bool forgetEndpoint(EndpointId server) override {
-        const bool done = ProxyModel::forgetEndpoint(server);
-        record("forget", {{"server", number(server)}, {"done", std::to_string(done)}});
+    bool forgetEndpoint(EndpointId endpoint) override {
+        const bool done = ProxyModel::forgetEndpoint(endpoint);
+        record("forget", {{"server", number(endpoint)}, {"done", std::to_string(done)}});
         return done;
     }
     bool clearStaleExclusions(ProxyId proxy, std::size_t most) override {
@@ -75,7 +76,7 @@
                {{"proxy", number(proxy)}, {"most", std::to_string(most)}, {"done", std::to_string(done)}});
         return done;
     }
-    /// Only counted: an event for the log is not an order. Its name tells what has been reached.
+    /// Only counted: an event for the log is no routing update. Its name tells what has been reached.
     void report(const PlannerEvent& event) override {
         ++day.coverage["event: " + std::string(eventName(event))];
     }
@@ -94,17 +95,17 @@
 
 private:
     static std::string number(const auto& id) { return std::to_string(id.value); }
-    bool isStarter(TableId table) const { return table.value >= wholeTables; }
+    bool isSubset(TableId table) const { return table.value >= fullTables; }
     void record(std::string_view order,
                 std::initializer_list<std::pair<std::string_view, std::string>> values) {
         ++day.coverage[std::string(order)];
         day.events.push_back(eventText(now, order, values));
     }
-    void countLine(TableId table, EndpointId server, double weight) {
-        if (isStarter(table)) ++day.coverage["starter table line"];
-        const auto before = tables[table].find(server);
+    void countLine(TableId table, EndpointId endpoint, double weight) {
+        if (isSubset(table)) ++day.coverage["subset table line"];
+        const auto before = tables[table].find(endpoint);
         const bool lowered = before != tables[table].end() && weight > 0 && weight < before->second;
-        if (lowered && listed[server].entry.startedAt == 0us) ++day.coverage["warm server lowered"];
+        if (lowered && listed[endpoint].entry.startedAt == 0us) ++day.coverage["warm endpoint lowered"];
     }
 };
 
@@ -113,8 +114,8 @@
 public:
     explicit DecisionsDay(std::uint64_t seed)
         : seconds_(seed % kLongDayEvery == 0 ? kSecondsOfLongDay : kSeconds), numbers_(seed) {
-        chooseTerms(seed);
-        addServers();
+        chooseSettings(seed);
+        addEndpoints();
         model_.start(seed);
         const auto proxies = numbers_.between(4, 24);
         for (std::uint16_t proxy = 0; proxy < proxies; ++proxy) join(proxy);
@@ -126,13 +127,13 @@
             passPart();
             if (numbers_.chance(0.9)) report();
             passPart();
-            if (numbers_.chance(0.85)) answerProbes();
+            if (numbers_.chance(0.85)) completeProbes();
         }
         return std::move(model_.day);
     }
 
 private:
-    void chooseTerms(std::uint64_t seed) {
+    void chooseSettings(std::uint64_t seed) {
         model_.checksRules = false;
         model_.channelIsCounted = seed % 2 == 1;
         model_.forgetsEndpoints = numbers_.chance(0.5);
@@ -148,21 +149,23 @@
         model_.channel.linesPerSecond = numbers_.oneOf({400.0, 4000.0, 7000.0});
         model_.channel.maxQueuedLines = numbers_.oneOf({500.0, 4000.0, 20000.0});
         model_.safety.removalIsBinding = numbers_.chance(0.7);
-        for (RequestClassConfig& product : model_.requestClasses) product.zoneLocal = numbers_.chance(0.25);
-        model_.wholeTables = countWholeTables();
+        for (RequestClassConfig& requestClass : model_.requestClasses)
+            requestClass.zoneLocal = numbers_.chance(0.25);
+        model_.fullTables = countFullTables();
         busyZone_ = numbers_.chance(0.4);
     }
-    /// The planner has a table of each zone for all products of one zone only, and for all others.
-    std::size_t countWholeTables() const {
+    /// The planner has a table of each zone for all zone-local request classes, and one for all others.
+    std::size_t countFullTables() const {
         std::size_t groups = 0;
-        for (const bool ownZone : {false, true})
-            groups += std::ranges::count(model_.requestClasses, ownZone, &RequestClassConfig::zoneLocal) > 0;
+        for (const bool isZoneLocal : {false, true})
+            groups +=
+                std::ranges::count(model_.requestClasses, isZoneLocal, &RequestClassConfig::zoneLocal) > 0;
         return groups * model_.fleet.zoneCount;
     }
     std::uint8_t zoneOf(std::uint64_t id) const {
         return static_cast<std::uint8_t>(id % model_.fleet.zoneCount);
     }
-    void addServers() {
+    void addEndpoints() {
         const auto count = numbers_.between(4, 30);
         for (std::uint64_t id = 0; id < count; ++id) {
             model_.addEndpoint(id, static_cast<double>(numbers_.between(1, 3)), zoneOf(id));
@@ -173,16 +176,16 @@
         return Micros(static_cast<std::int64_t>(numbers_.below(static_cast<std::uint64_t>(end.count()))));
     }
     double rateOf(std::uint16_t proxy) const { return busyZone_ && zoneOf(proxy) == 0 ? 90 : 8 + proxy; }
-    /// The proxy holds a few servers, or the whole of an old table.
+    /// The proxy holds a few endpoints, or a full table of an earlier planner.
     void join(std::uint16_t proxy) {
-        const bool hasWholeTable = numbers_.chance(0.3);
+        const bool hasFullTable = numbers_.chance(0.3);
         std::set<EndpointId> holds;
         for (const auto& [id, one] : model_.listed)
-            if (one.entry.state != EndpointState::Removed && numbers_.chance(hasWholeTable ? 0.95 : 0.2))
+            if (one.entry.state != EndpointState::Removed && numbers_.chance(hasFullTable ? 0.95 : 0.2))
                 holds.insert(id);
         model_.join(proxy, zoneOf(proxy), rateOf(proxy), std::move(holds));
     }
-    EndpointId anyServer() {
+    EndpointId anyEndpoint() {
         return std::next(model_.listed.begin(),
                          static_cast<std::ptrdiff_t>(numbers_.below(model_.listed.size())))
             ->first;
@@ -191,27 +194,27 @@
     void happen() {
         switch (numbers_.below(14)) {
         case 0:
-        case 1: model_.updateEndpoint(anyServer().value, EndpointState::Draining); break;
-        case 2: model_.updateEndpoint(anyServer().value, EndpointState::Removed); break;
-        case 3: model_.updateEndpoint(anyServer().value, EndpointState::Ready); break;
+        case 1: model_.updateEndpoint(anyEndpoint().value, EndpointState::Draining); break;
+        case 2: model_.updateEndpoint(anyEndpoint().value, EndpointState::Removed); break;
+        case 3: model_.updateEndpoint(anyEndpoint().value, EndpointState::Ready); break;
         case 4:
-            model_.updateEndpoint(anyServer().value, EndpointState::Ready, model_.now - anyMicros(12s));
+            model_.updateEndpoint(anyEndpoint().value, EndpointState::Ready, model_.now - anyMicros(12s));
             break;
         case 5:
         case 6:
-        case 7: startServers(); break;
-        case 8: leaveOrCome(); break;
+        case 7: startEndpoints(); break;
+        case 8: leaveOrJoin(); break;
         case 9: join(static_cast<std::uint16_t>(numbers_.below(24))); break;
         case 10: release(); break;
-        case 11: tellWholeList(); break;
+        case 11: sendCompleteList(); break;
         case 12: model_.slowdown = numbers_.chance(0.5) ? 1 : 1 + 4 * numbers_.share(); break;
         default:
             if (numbers_.chance(0.4)) model_.restart(numbers_.below(1000));
         }
     }
-    void startServers() {
+    void startEndpoints() {
         for (auto count = numbers_.between(1, 4); count > 0; --count) {
-            const std::uint64_t id = nextServer_++;
+            const std::uint64_t id = nextEndpoint_++;
             EndpointUpdate& entry = model_.listed[{id}].entry;
             entry.weight = static_cast<double>(numbers_.between(1, 3));
             entry.zone = {zoneOf(id)};
@@ -219,94 +222,96 @@
                                   numbers_.chance(0.5) ? 0us : model_.now - anyMicros(2s));
         }
     }
-    /// Some servers end while others take their place.
+    /// Some endpoints drain while others take their place.
     void release() {
         for (auto count = numbers_.between(1, 5); count > 0; --count)
-            model_.updateEndpoint(anyServer().value, EndpointState::Draining);
-        startServers();
+            model_.updateEndpoint(anyEndpoint().value, EndpointState::Draining);
+        startEndpoints();
     }
-    void leaveOrCome() {
+    void leaveOrJoin() {
         const auto proxy = static_cast<std::uint16_t>(numbers_.below(24));
         if (model_.proxies.contains({proxy}))
             model_.leave(proxy);
         else
             join(proxy);
     }
-    void tellWholeList() {
-        const auto news = numbers_.oneOf({EndpointListUpdate::Cached, EndpointListUpdate::Snapshot,
-                                          EndpointListUpdate::Snapshot, EndpointListUpdate::PollFailed});
+    void sendCompleteList() {
+        const auto update = numbers_.oneOf({EndpointListUpdate::Cached, EndpointListUpdate::Snapshot,
+                                            EndpointListUpdate::Snapshot, EndpointListUpdate::PollFailed});
         std::vector<EndpointUpdate> entries;
         for (auto& [id, one] : model_.listed) {
             const bool named = one.entry.state != EndpointState::Removed && !numbers_.chance(0.03);
             if (!named) one.entry.state = EndpointState::Removed;
-            if (named && news != EndpointListUpdate::PollFailed) entries.push_back(one.entry);
+            if (named && update != EndpointListUpdate::PollFailed) entries.push_back(one.entry);
         }
-        model_.batch([&] { model_.planner->updateEndpoints(news, entries); });
+        model_.batch([&] { model_.planner->updateEndpoints(update, entries); });
     }
 
     void changeCondition(int second) {
-        condition_ = numbers_.oneOf({Condition::Well, Condition::Well, Condition::FewFail, Condition::FewFail,
-                                     Condition::FewAreSlow, Condition::FewAreSlow, Condition::FewAreSilent,
-                                     Condition::AllAreSlow, Condition::AllAreSlow, Condition::MostFail});
+        condition_ =
+            numbers_.oneOf({Condition::Healthy, Condition::Healthy, Condition::FewFail, Condition::FewFail,
+                            Condition::FewAreSlow, Condition::FewAreSlow, Condition::FewAreSilent,
+                            Condition::AllAreSlow, Condition::AllAreSlow, Condition::MostFail});
         affected_.clear();
-        for (auto count = numbers_.between(1, 4); count > 0; --count) affected_.insert(anyServer());
+        for (auto count = numbers_.between(1, 4); count > 0; --count) affected_.insert(anyEndpoint());
         changesAt_ = second + static_cast<int>(numbers_.between(3, 9));
     }
-    bool isAffected(EndpointId server) const {
+    bool isAffected(EndpointId endpoint) const {
         const bool all = condition_ == Condition::AllAreSlow || condition_ == Condition::MostFail;
-        return condition_ != Condition::Well && (all || affected_.contains(server));
+        return condition_ != Condition::Healthy && (all || affected_.contains(endpoint));
     }
-    double failingShare(EndpointId server) {
-        if (!isAffected(server)) return numbers_.chance(0.1) ? 0.1 : 0;
+    double failureRatio(EndpointId endpoint) {
+        if (!isAffected(endpoint)) return numbers_.chance(0.1) ? 0.1 : 0;
         if (condition_ == Condition::FewFail) return numbers_.oneOf({0.6, 0.8, 1.0});
         if (condition_ == Condition::MostFail) return 0.3 + 0.7 * numbers_.share();
         return 0.2 * numbers_.share();
     }
-    Micros delayOf(EndpointId server) {
-        const bool isSlow = isAffected(server) && condition_ != Condition::FewFail;
+    Micros latencyOf(EndpointId endpoint) {
+        const bool isSlow = isAffected(endpoint) && condition_ != Condition::FewFail;
         return isSlow ? 900ms + anyMicros(2s) : 50ms + anyMicros(200ms);
     }
-    /// The sums of a second: each zone's proxies on each server, and each proxy on each product.
+    /// The reports of a second: each zone's proxies on each endpoint, and each proxy on each request class.
     void report() {
         double rate = 0;
         for (const auto& [id, proxy] : model_.proxies) rate += rateOf(id.value);
         const double lines = static_cast<double>(model_.listed.size()) * model_.fleet.zoneCount;
-        const auto tries = static_cast<std::uint32_t>(rate * (0.7 + numbers_.share()) / lines) + 3;
+        const auto attempts = static_cast<std::uint32_t>(rate * (0.7 + numbers_.share()) / lines) + 3;
         model_.batch([&] {
             for (const auto& [id, one] : model_.listed)
                 if (one.entry.state == EndpointState::Ready && !model_.excluded.contains(id))
-                    reportServer(id, tries);
-            for (const auto& [id, proxy] : model_.proxies) reportUsage(id);
+                    reportEndpoint(id, attempts);
+            for (const auto& [id, proxy] : model_.proxies) reportProxyDemand(id);
         });
     }
-    void reportServer(EndpointId server, std::uint32_t tries) {
-        if (condition_ == Condition::FewAreSilent && isAffected(server)) return;
+    void reportEndpoint(EndpointId endpoint, std::uint32_t attempts) {
+        if (condition_ == Condition::FewAreSilent && isAffected(endpoint)) return;
         for (std::uint8_t zone = 0; zone < model_.fleet.zoneCount; ++zone) {
-            EndpointLoadReport sums{
-                .endpoint = server, .proxyZone = {zone}, .attempts = tries, .interval = 1s, .load = {}};
-            sums.failures = static_cast<std::uint32_t>(tries * failingShare(server));
-            if (sums.failures < tries) sums.meanLatency = delayOf(server);
-            if (numbers_.chance(0.5)) sums.load.inFlight = isAffected(server) ? 40 : 5 * numbers_.share();
-            if (numbers_.chance(0.2)) sums.load.queueLength = 10 * numbers_.share();
-            model_.planner->reportLoad(sums);
+            EndpointLoadReport report{
+                .endpoint = endpoint, .proxyZone = {zone}, .attempts = attempts, .interval = 1s, .load = {}};
+            report.failures = static_cast<std::uint32_t>(attempts * failureRatio(endpoint));
+            if (report.failures < attempts) report.meanLatency = latencyOf(endpoint);
+            if (numbers_.chance(0.5)) report.load.inFlight = isAffected(endpoint) ? 40 : 5 * numbers_.share();
+            if (numbers_.chance(0.2)) report.load.queueLength = 10 * numbers_.share();
+            model_.planner->reportLoad(report);
         }
     }
-    void reportUsage(ProxyId proxy) {
-        for (std::uint16_t product = 0; product < model_.requestClasses.size(); ++product) {
+    void reportProxyDemand(ProxyId proxy) {
+        for (std::uint16_t requestClass = 0; requestClass < model_.requestClasses.size(); ++requestClass) {
             const double each = rateOf(proxy.value) / static_cast<double>(model_.requestClasses.size());
-            const auto txns = static_cast<std::uint32_t>(each * (0.8 + 0.4 * numbers_.share()));
-            model_.planner->reportDemand({proxy, {product}, txns, txns / 10, 1s});
+            const auto requests = static_cast<std::uint32_t>(each * (0.8 + 0.4 * numbers_.share()));
+            model_.planner->reportDemand({proxy, {requestClass}, requests, requests / 10, 1s});
         }
     }
-    void answerProbes() {
-        const auto asked = std::exchange(model_.probes, {});
+    void completeProbes() {
+        const auto outstanding = std::exchange(model_.probes, {});
         model_.batch([&] {
-            for (const EndpointId server : asked) model_.planner->probeCompleted(probeResult(server));
+            for (const EndpointId endpoint : outstanding)
+                model_.planner->probeCompleted(probeResult(endpoint));
         });
     }
-    ProbeResult probeResult(EndpointId server) {
-        ProbeResult result{.endpoint = server, .status = ProbeStatus::Answered, .latency = 5ms, .load = {}};
-        if (isAffected(server))
+    ProbeResult probeResult(EndpointId endpoint) {
+        ProbeResult result{.endpoint = endpoint, .status = ProbeStatus::Answered, .latency = 5ms, .load = {}};
+        if (isAffected(endpoint))
             result.status = static_cast<ProbeStatus>(numbers_.below(6));
         else if (numbers_.chance(0.1))
             result.status = ProbeStatus::TimedOut;
@@ -319,11 +324,11 @@
     const int seconds_;
     SeededNumbers numbers_;
     RecordingModel model_;
-    Condition condition_ = Condition::Well;
+    Condition condition_ = Condition::Healthy;
     std::set<EndpointId> affected_;
     int changesAt_ = 3;
-    bool busyZone_ = false; // one zone has most of the traffic, more than its own servers can take
-    std::uint64_t nextServer_ = kListedLater;
+    bool busyZone_ = false; // one zone has most of the traffic, more than its own endpoints can take
+    std::uint64_t nextEndpoint_ = kListedLater;
 };
 
 } // namespace
--- a/tests/outlier_detection_test.cpp
+++ b/tests/outlier_detection_test.cpp
@@ -10,7 +10,7 @@
     for (const std::uint64_t slowCount : {1, 4}) {
         const auto model = settledModel(6);
         for (int second = 0; second < 6; ++second) {
-            model->reportLoad(20, noFailures, [=](auto id) { return id <= slowCount ? 1500ms : 150ms; });
+            model->reportLoad(20, kNoFailures, [=](auto id) { return id <= slowCount ? 1500ms : 150ms; });
             EXPECT_DOUBLE_EQ(weightOf(*model, 1), 1);
             model->completeProbes(second < 5 ? ProbeStatus::Answered : ProbeStatus::TimedOut);
             model->advance(1s);
--- a/tests/planner_event_test.cpp
+++ b/tests/planner_event_test.cpp
@@ -1,7 +1,11 @@
-// Planner events as text: the names that the log and the operators' page use.
+// Planner events as text: what the operators' page and the log of the simulator show.
 #include <gtest/gtest.h>
 
+#include "log/log.h"
+#include "metrics/counters.h"
 #include "planner/planner_event.h"
+#include "routing/name_registry.h"
+#include "routing/routing_state.h"
 
 namespace zincstack::tests {
 namespace {
@@ -18,5 +22,21 @@
     EXPECT_EQ(eventText(UpdateDeadlock{{2}, 0.25}), "update_deadlock table=2 rate_limit_fraction=0.250000");
 }
 
+TEST(PlannerEvent, IsLoggedWithTheNameOfItsEndpoint) {
+    net::NameRegistry names({"payments"}, {"east"});
+    net::Counters counters;
+    routing::RoutingState state(
+        names, counters, [](EndpointId) {}, [](Micros) {});
+    const EndpointId endpoint = names.registerEndpoint("s-2");
+    log::start(log::Format::Text, log::Level::Info);
+    testing::internal::CaptureStderr();
+    state.report(EndpointEjected{endpoint, 12, 9});
+    state.report(UpdateDeadlock{{3}, 0.25});
+    const std::string written = testing::internal::GetCapturedStderr();
+    EXPECT_NE(written.find("info endpoint_ejected endpoint=s-2 attempts="), std::string::npos) << written;
+    EXPECT_NE(written.find("info update_deadlock table=3 rate_limit_fraction="), std::string::npos)
+        << written;
+}
+
 } // namespace
 } // namespace zincstack::tests
--- a/tests/planner_rules_test.cpp
+++ b/tests/planner_rules_test.cpp
@@ -49,7 +49,7 @@
         model.join(who, static_cast<std::uint8_t>(who % 2), 100 * part, {{who}, {who + 1U}});
         break;
     case Happening::AttemptsFail: model.reportLoad(20, failureRatio); break;
-    case Happening::AllAreSlow: model.reportLoad(20, noFailures, [](auto) { return 3s; }); break;
+    case Happening::AllAreSlow: model.reportLoad(20, kNoFailures, [](auto) { return 3s; }); break;
     case Happening::ChannelSlowsDown: model.slowdown = 1 + 4 * part; break;
     case Happening::ProbesComplete:
         model.completeProbes(part < 0.5 ? ProbeStatus::TimedOut : ProbeStatus::Answered);
--- a/tests/proxy_model.cpp
+++ b/tests/proxy_model.cpp
@@ -97,8 +97,8 @@
 
 void ProxyModel::reportDemand() {
     for (auto& [id, proxy] : proxies)
-        for (std::uint16_t index = 0; index < requestClasses.size(); ++index)
-            planner->reportDemand({id, {index}, 10, 0, 1s});
+        for (std::size_t index = 0; index < requestClasses.size(); ++index)
+            planner->reportDemand({id, {static_cast<std::uint16_t>(index)}, 10, 0, 1s});
 }
 
 void ProxyModel::completeProbes(ProbeStatus status, Micros latency) {
--- a/tests/settled_model.h
+++ b/tests/settled_model.h
@@ -8,7 +8,7 @@
 namespace zincstack::tests {
 
 /// For ProxyModel::reportLoad: no attempt fails.
-inline constexpr auto noFailures = [](std::uint64_t) { return 0.0; };
+inline constexpr auto kNoFailures = [](std::uint64_t) { return 0.0; };
 
 /// A model of `endpointCount` warm endpoints (ids from 1), with proxies that have joined and got their tables, and with
 /// good load reports. What was ordered until then is cleared from `weightUpdates`.
@@ -19,7 +19,7 @@
     for (std::uint16_t proxy = 0; proxy < proxyCount; ++proxy)
         model->join(proxy, static_cast<std::uint8_t>(proxy % 2), 10, {{1}, {2}});
     model->advance(2s);
-    model->reportLoad(20, noFailures);
+    model->reportLoad(20, kNoFailures);
     model->advance(1s);
     model->weightUpdates.clear();
     return model;
@@ -36,7 +36,7 @@
 /// Good load reports once a second for so many seconds.
 inline void passCalmSeconds(ProxyModel& model, int count) {
     for (int second = 0; second < count; ++second) {
-        model.reportLoad(20, noFailures);
+        model.reportLoad(20, kNoFailures);
         model.advance(1s);
     }
 }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -14,7 +14,7 @@
     double before = 0.2;
     for (int step = 0; step < 40; ++step) {
         model->advance(500ms);
-        if (step % 2) model->reportLoad(20, noFailures);
+        if (step % 2) model->reportLoad(20, kNoFailures);
         EXPECT_LE(weightOf(*model, 9) - before, 0.2 + 1e-9);
         before = weightOf(*model, 9);
     }
@@ -27,7 +27,7 @@
     model->updateEndpoint(9, EndpointState::Ready, 0us);
     model->advance(4s);
     EXPECT_DOUBLE_EQ(weightOf(*model, 9), 0.2);
-    model->reportLoad(20, noFailures);
+    model->reportLoad(20, kNoFailures);
     model->advance(6s);
     EXPECT_DOUBLE_EQ(weightOf(*model, 9), 1);
 }
