--- a/tests/proxy_model.cpp
+++ b/tests/proxy_model.cpp
@@ -37,7 +37,7 @@
     queue = {};
     openMessages_ = {};
     wakeUpAt_ = -1us;
-    planner = makePlanner(seed, fleet, proxyFleet, channel, safety, requestClasses, *this);
+    planner = makePlanner({seed, fleet, proxyFleet, channel, safety, requestClasses}, *this);
     std::vector<EndpointUpdate> entries;
     for (auto& [id, endpoint] : listed)
         if (endpoint.entry.state != EndpointState::Removed) entries.push_back(endpoint.entry);
