--- a/src/platform/pending_update.cpp
+++ b/src/platform/pending_update.cpp
@@ -42,7 +42,8 @@
 
 void PendingUpdate::admissionChanged(std::optional<TableId> table, RequestClassSet requestClasses) {
     const std::set<TableId>& assigned = state_.tablesOf(proxy_);
-    for (std::uint16_t k = 0; k < names_.requestClassCount(); ++k) {
+    const auto count = static_cast<std::uint16_t>(names_.requestClassCount());
+    for (std::uint16_t k = 0; k < count; ++k) {
         const RequestClassId requestClass{k};
         if (!routing::contains(requestClasses, requestClass)) continue;
         if (!table && assigned.empty())
@@ -105,7 +106,8 @@
 routing::AdmissionLimits PendingUpdate::effectiveAdmission(TableId table,
                                                            RequestClassSet requestClasses) const {
     routing::AdmissionLimits limits;
-    for (std::uint16_t k = 0; k < names_.requestClassCount(); ++k) {
+    const auto count = static_cast<std::uint16_t>(names_.requestClassCount());
+    for (std::uint16_t k = 0; k < count; ++k) {
         const RequestClassId requestClass{k};
         if (!routing::contains(requestClasses, requestClass)) continue;
         if (const auto limit = state_.effectiveAdmission(table, requestClass)) limits[requestClass] = *limit;
--- a/src/platform/push_encoder.cpp
+++ b/src/platform/push_encoder.cpp
@@ -30,7 +30,8 @@
 std::string formatRequestClasses(RequestClassSet requestClasses, const NameRegistry& names) {
     std::string out;
     bool all = true;
-    for (std::uint16_t k = 0; k < names.requestClassCount(); ++k) {
+    const auto count = static_cast<std::uint16_t>(names.requestClassCount());
+    for (std::uint16_t k = 0; k < count; ++k) {
         if (routing::contains(requestClasses, {k}))
             out.append(out.empty() ? " for=" : "+").append(names.nameOf(RequestClassId{k}));
         else
--- a/src/platform/update_queue.h
+++ b/src/platform/update_queue.h
@@ -48,7 +48,7 @@
 
 private:
     struct Session {
-        PushStream* stream;
+        PushStream* stream = nullptr;
         PendingUpdate pending;
         std::optional<Micros> pendingSince = {};
         /// The stream refused a message: the proxy is resynchronized once it has read everything before.
--- a/src/routing/routing_state.cpp
+++ b/src/routing/routing_state.cpp
@@ -175,7 +175,8 @@
 void RoutingState::setAdmission(std::optional<TableId> table, RequestClassSet requestClasses, double limit,
                                 RetryPolicy retryPolicy) {
     const RequestClassSet affected = requestClasses ? requestClasses : allRequestClasses();
-    for (std::uint16_t k = 0; k < names_.requestClassCount(); ++k) {
+    const auto count = static_cast<std::uint16_t>(names_.requestClassCount());
+    for (std::uint16_t k = 0; k < count; ++k) {
         const RequestClassId requestClass{k};
         if (!contains(affected, requestClass)) continue;
         AdmissionLimits& limits = table ? tables_[*table].admission : fleetWideAdmission_;
