--- a/bench/pubsub_bench.cpp
+++ b/bench/pubsub_bench.cpp
@@ -53,7 +53,9 @@
                           -1, 0)) SharedState) {}
     ~SharedMemory() { munmap(state_, sizeof(SharedState)); }
     SharedMemory(const SharedMemory&) = delete;
+    SharedMemory(SharedMemory&&) = delete;
     SharedMemory& operator=(const SharedMemory&) = delete;
+    SharedMemory& operator=(SharedMemory&&) = delete;
     SharedState& state() { return *state_; }
 
 private:
--- a/src/client/subscription_client.cpp
+++ b/src/client/subscription_client.cpp
@@ -21,9 +21,10 @@
 namespace {
 
 constexpr Micros kConnectTimeout = 2s;
-constexpr Micros kTickInterval = 250ms;             // of heartbeats and the lease
-constexpr std::size_t kReadBufferBytes = 16 * 1024; // read at once
-constexpr std::size_t kMaxUnsentBytes = 256 * 1024; // beyond it the planner does not read, and is left
+constexpr Micros kTickInterval = 250ms;                          // of heartbeats and the lease
+constexpr std::size_t kReadBufferBytes = std::size_t{16} * 1024; // read at once
+constexpr std::size_t kMaxUnsentBytes =
+    std::size_t{256} * 1024; // beyond it the planner does not read, and is left
 
 } // namespace
 
--- a/src/pubsub/flow_control.h
+++ b/src/pubsub/flow_control.h
@@ -32,10 +32,10 @@
 inline constexpr std::size_t kPriorityCount = 3;
 
 struct FlowControlLimits {
-    std::size_t maxLinesPerSubscriber = 1024;      ///< unacknowledged, of one subscriber
-    std::size_t maxBytesPerSubscriber = 32 * 1024; ///< the same in bytes
+    std::size_t maxLinesPerSubscriber = 1024;                   ///< unacknowledged, of one subscriber
+    std::size_t maxBytesPerSubscriber = std::size_t{32} * 1024; ///< the same in bytes
     double maxQueuedLines = 0; ///< lines that may be queued at once, of all transports (ControlChannelLimits)
-    std::size_t maxTotalBytes = 16 * 1024 * 1024; ///< unacknowledged, of all subscribers
+    std::size_t maxTotalBytes = std::size_t{16} * 1024 * 1024; ///< unacknowledged, of all subscribers
 };
 
 /// What was sent and is not acknowledged.
--- a/src/pubsub/frame.cpp
+++ b/src/pubsub/frame.cpp
@@ -50,12 +50,12 @@
 };
 
 ZSTD_CCtx* compressionContext() {
-    thread_local const std::unique_ptr<ZSTD_CCtx, ContextDeleter<ZSTD_freeCCtx>> context(ZSTD_createCCtx());
+    thread_local std::unique_ptr<ZSTD_CCtx, ContextDeleter<ZSTD_freeCCtx>> context(ZSTD_createCCtx());
     return context.get();
 }
 
 ZSTD_DCtx* decompressionContext() {
-    thread_local const std::unique_ptr<ZSTD_DCtx, ContextDeleter<ZSTD_freeDCtx>> context(ZSTD_createDCtx());
+    thread_local std::unique_ptr<ZSTD_DCtx, ContextDeleter<ZSTD_freeDCtx>> context(ZSTD_createDCtx());
     return context.get();
 }
 
--- a/src/pubsub/frame.h
+++ b/src/pubsub/frame.h
@@ -30,9 +30,9 @@
 
 inline constexpr std::uint8_t kProtocolVersion = 1;
 inline constexpr std::size_t kHeaderBytes = 40;
-inline constexpr std::size_t kMaxClientFrameBytes = 4 * 1024;  ///< of a frame to the planner
-inline constexpr std::size_t kMaxServerFrameBytes = 64 * 1024; ///< of a frame from the planner
-inline constexpr std::size_t kMaxBodyBytes = 256 * 1024;       ///< of a body after decompression
+inline constexpr std::size_t kMaxClientFrameBytes = std::size_t{4} * 1024;  ///< of a frame to the planner
+inline constexpr std::size_t kMaxServerFrameBytes = std::size_t{64} * 1024; ///< of a frame from the planner
+inline constexpr std::size_t kMaxBodyBytes = std::size_t{256} * 1024;       ///< of a body after decompression
 
 enum class FrameType : std::uint8_t {
     // Client to planner.
--- a/src/pubsub/message_body.cpp
+++ b/src/pubsub/message_body.cpp
@@ -24,7 +24,8 @@
 
 Value decodeMap(std::string_view body) {
     Value out = json::readCbor(body, kMaxDepth);
-    return out.is_object() ? out : Value();
+    if (!out.is_object()) return Value();
+    return out;
 }
 
 std::optional<std::uint64_t> unsignedOf(const Value& value, std::uint64_t most) {
--- a/src/pubsub/message_cache.cpp
+++ b/src/pubsub/message_cache.cpp
@@ -10,8 +10,8 @@
 
 using net::Counter;
 
-constexpr std::size_t kTargetPartBytes = 24 * 1024; // of an uncompressed body, estimated
-constexpr std::size_t kEntryOverheadBytes = 12;     // of an entry beside its name, estimated
+constexpr std::size_t kTargetPartBytes = std::size_t{24} * 1024; // of an uncompressed body, estimated
+constexpr std::size_t kEntryOverheadBytes = 12;                  // of an entry beside its name, estimated
 constexpr std::size_t kMaxCachedChanges = 64;    // messages of a topic for one head, by their first sequence
 constexpr std::size_t kSnapshotReuseDivisor = 8; // a snapshot serves until an eighth of its topic has changed
 
@@ -105,8 +105,10 @@
     std::vector<std::string> names;
     if (topic == kExclusionsTopic) return names;
     const RequestClassSet served = routingState_.table(tableOf(topic)).requestClasses;
-    for (std::uint16_t number = 0; number < names_.requestClassCount(); ++number)
-        if (served >> number & 1U) names.push_back(names_.nameOf(RequestClassId{number}));
+    for (std::size_t number = 0; number < names_.requestClassCount(); ++number) {
+        const RequestClassId requestClass{static_cast<std::uint16_t>(number)};
+        if (served >> number & 1U) names.push_back(names_.nameOf(requestClass));
+    }
     return names;
 }
 
--- a/src/pubsub/message_cache.h
+++ b/src/pubsub/message_cache.h
@@ -27,7 +27,7 @@
 private:
     struct ChangesKey {
         Sequence since;
-        bool compressed;
+        bool compressed = false;
         friend auto operator<=>(const ChangesKey&, const ChangesKey&) = default;
     };
     struct CachedMessages {
--- a/src/pubsub/pubsub_service.h
+++ b/src/pubsub/pubsub_service.h
@@ -29,6 +29,10 @@
     PubsubService(boost::asio::io_context& io, net::Counters& counters, net::BufferPool& bufferPool,
                   MakeServer makeServer, Micros heartbeatInterval);
     ~PubsubService();
+    PubsubService(const PubsubService&) = delete;
+    PubsubService(PubsubService&&) = delete;
+    PubsubService& operator=(const PubsubService&) = delete;
+    PubsubService& operator=(PubsubService&&) = delete;
 
     /// Switches the channel on at that endpoint, moves it there, or switches it off where there is none. Throws
     /// InputError where the address is invalid, and boost::system::system_error where it cannot be listened on; the
--- a/src/pubsub/replica.cpp
+++ b/src/pubsub/replica.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxTopicEntries = 64 * 1024; // of a message in all its parts
+constexpr std::size_t kMaxTopicEntries = std::size_t{64} * 1024; // of a message in all its parts
 
 } // namespace
 
@@ -129,6 +129,7 @@
 
 std::vector<TopicPosition> Replica::positions() const {
     std::vector<TopicPosition> out;
+    out.reserve(positions_.size());
     for (const auto& [topic, position] : positions_)
         out.push_back({topic, position.epoch, position.sequence});
     return out;
--- a/src/pubsub/replica.h
+++ b/src/pubsub/replica.h
@@ -87,7 +87,7 @@
     };
     struct Exclusion {
         Epoch epoch; // of the planner that announced it last
-        Micros announcedAt;
+        Micros announcedAt{};
     };
     /// What the frame is by its position alone: Duplicate, Gap, or none where it is to be applied.
     std::optional<Outcome> checkPosition(const Frame& frame) const;
--- a/src/pubsub/subscriber.h
+++ b/src/pubsub/subscriber.h
@@ -22,6 +22,11 @@
 /// Where a subscriber's frames go: its connection, as far as the server knows it.
 class FrameTarget {
 public:
+    FrameTarget() = default;
+    FrameTarget(const FrameTarget&) = delete;
+    FrameTarget(FrameTarget&&) = delete;
+    FrameTarget& operator=(const FrameTarget&) = delete;
+    FrameTarget& operator=(FrameTarget&&) = delete;
     virtual ~FrameTarget() = default;
     /// Queues a complete frame; false if too much is queued already.
     virtual bool push(const SharedFrame& frame) = 0;
@@ -136,7 +141,7 @@
     struct UnacknowledgedPart {
         TopicId topic;
         Sequence head;
-        std::uint16_t part;
+        std::uint16_t part = 0;
         MessageSize size;
     };
     struct PendingBarrier {
--- a/src/pubsub/subscriber_session.h
+++ b/src/pubsub/subscriber_session.h
@@ -9,7 +9,7 @@
 namespace zincstack::pubsub {
 
 /// Bytes queued for one slow reader; the server's flow-control windows are smaller.
-inline constexpr std::size_t kMaxQueuedBytes = 256 * 1024;
+inline constexpr std::size_t kMaxQueuedBytes = std::size_t{256} * 1024;
 
 /// The session of a connection that was accepted on the channel's address. Both arguments must outlive it.
 std::unique_ptr<net::PeerProtocol> makeSubscriberSession(SubscriptionServer& server,
--- a/src/pubsub/subscription_server.cpp
+++ b/src/pubsub/subscription_server.cpp
@@ -93,9 +93,8 @@
     }
 }
 
-/// Whether something changed for the subscriber since its last barrier.
-bool SubscriptionServer::needsBarrier(const Subscriber& subscriber,
-                                      const std::map<TopicId, Sequence>& heads) const {
+bool SubscriptionServer::hasChangesSinceBarrier(const Subscriber& subscriber,
+                                                const std::map<TopicId, Sequence>& heads) const {
     return std::ranges::any_of(subscriber.topics, [&](const auto& item) {
         const auto& [topic, progress] = item;
         return !progress.wasSent || heads.at(topic) > progress.barrier;
@@ -106,7 +105,7 @@
     const std::map<TopicId, Sequence> heads = topics_.heads();
     for (const auto& [proxy, id] : proxySessions_) {
         Subscriber& subscriber = *subscribers_.at(id);
-        const bool hasChanges = needsBarrier(subscriber, heads);
+        const bool hasChanges = hasChangesSinceBarrier(subscriber, heads);
         if (!hasChanges && !everyProxy) continue;
         // Without changes the exclusions are sent once more, so that there is something to acknowledge.
         if (!hasChanges) subscriber.topics.at(kExclusionsTopic).wasSent = false;
--- a/src/pubsub/subscription_server.h
+++ b/src/pubsub/subscription_server.h
@@ -44,7 +44,9 @@
                        net::Counters& counters, const ServerConfig& config, OpenBatch openBatch, Clock clock);
     ~SubscriptionServer() override;
     SubscriptionServer(const SubscriptionServer&) = delete;
+    SubscriptionServer(SubscriptionServer&&) = delete;
     SubscriptionServer& operator=(const SubscriptionServer&) = delete;
+    SubscriptionServer& operator=(SubscriptionServer&&) = delete;
 
     // -- sessions --
     /// A connection was opened. The subscriber is owned by the server and valid until `sessionClosed`.
@@ -98,7 +100,8 @@
     void follow(Subscriber& subscriber, TopicId topic);
     void followZone(Subscriber& subscriber);
     void reportAcknowledgedBarrier(Subscriber& subscriber);
-    bool needsBarrier(const Subscriber& subscriber, const std::map<TopicId, Sequence>& heads) const;
+    /// Whether something changed for the subscriber since its last barrier.
+    bool hasChangesSinceBarrier(const Subscriber& subscriber, const std::map<TopicId, Sequence>& heads) const;
 
     /// False: the session has ended.
     bool transition(Subscriber& subscriber, SessionInput input, std::string_view reason = {});
--- a/src/pubsub/topic_store.cpp
+++ b/src/pubsub/topic_store.cpp
@@ -40,9 +40,9 @@
 void TopicStore::updateAdmission(TableId table, RequestClassSet requestClasses) {
     const RequestClassSet served = routingState_.table(table).requestClasses;
     TopicLog& log = logs_.at(topicOf(table));
-    for (std::uint16_t number = 0; number < names_.requestClassCount(); ++number) {
+    for (std::size_t number = 0; number < names_.requestClassCount(); ++number) {
         if (!(requestClasses & served & 1U << number)) continue;
-        const RequestClassId requestClass{number};
+        const RequestClassId requestClass{static_cast<std::uint16_t>(number)};
         const auto admission = routingState_.effectiveAdmission(table, requestClass);
         if (!admission) continue;
         log.put({{Key::Kind::Admission, names_.nameOf(requestClass)},
