--- a/src/pubsub/frame.cpp
+++ b/src/pubsub/frame.cpp
@@ -50,13 +50,13 @@
 };
 
 ZSTD_CCtx* compressionContext() {
-    thread_local std::unique_ptr<ZSTD_CCtx, ContextDeleter<ZSTD_freeCCtx>> context(ZSTD_createCCtx());
-    return context.get();
+    thread_local const std::unique_ptr<ZSTD_CCtx, ContextDeleter<ZSTD_freeCCtx>> kContext(ZSTD_createCCtx());
+    return kContext.get();
 }
 
 ZSTD_DCtx* decompressionContext() {
-    thread_local std::unique_ptr<ZSTD_DCtx, ContextDeleter<ZSTD_freeDCtx>> context(ZSTD_createDCtx());
-    return context.get();
+    thread_local const std::unique_ptr<ZSTD_DCtx, ContextDeleter<ZSTD_freeDCtx>> kContext(ZSTD_createDCtx());
+    return kContext.get();
 }
 
 /// Compresses the body behind the header that `frame` holds. False, and `frame` unchanged, where that saves nothing.
