--- a/src/simwire/codec.cpp
+++ b/src/simwire/codec.cpp
@@ -6,8 +6,11 @@
 namespace zincstack::simwire {
 
 namespace {
-constexpr double kLongestSeconds = 4e9;
-}
+
+constexpr double kMaxSeconds = 4e9; // beyond a century, and far below what whole microseconds can hold
+constexpr double kMicrosPerSecond = 1e6;
+
+} // namespace
 
 void FieldReader::fail(std::string_view field, std::string_view what) const {
     throw InputError(std::string(record_) + "." + std::string(field) + " at offset " +
@@ -23,55 +26,55 @@
     return out;
 }
 
-double FieldReader::number(std::string_view field) {
+double FieldReader::float64(std::string_view field) {
     double out{};
     std::memcpy(&out, take(field, sizeof out).data(), sizeof out);
     if (!std::isfinite(out)) fail(field, "not a finite number");
     return out;
 }
 
-double FieldReader::shortNumber(std::string_view field) {
+double FieldReader::float32(std::string_view field) {
     float out{};
     std::memcpy(&out, take(field, sizeof out).data(), sizeof out);
     if (!std::isfinite(out)) fail(field, "not a finite number");
     return static_cast<double>(out);
 }
 
-bool FieldReader::flag(std::string_view field) {
-    const auto value = whole<std::uint8_t>(field);
+bool FieldReader::boolean(std::string_view field) {
+    const auto value = integer<std::uint8_t>(field);
     if (value > 1) fail(field, "neither true nor false");
     return value == 1;
 }
 
-EndpointId FieldReader::server(std::string_view field) {
+EndpointId FieldReader::endpoint(std::string_view field) {
     EndpointId out;
-    std::memcpy(&out.value, take(field, 6).data(), 6);
+    std::memcpy(&out.value, take(field, kEndpointBytes).data(), kEndpointBytes);
     return out;
 }
 
 Micros FieldReader::toMicros(double seconds, std::string_view field) const {
-    if (std::abs(seconds) > kLongestSeconds) fail(field, "a time out of all range");
-    return Micros(std::llround(seconds * 1e6));
+    if (std::abs(seconds) > kMaxSeconds) fail(field, "a time out of all range");
+    return Micros(std::llround(seconds * kMicrosPerSecond));
 }
 
-void FieldReader::done() const {
+void FieldReader::expectEnd() const {
     if (!rest_.empty()) fail("end", std::to_string(rest_.size()) + " bytes too many");
 }
 
 BatchHeader readBatchHeader(std::span<const std::byte> bytes) {
-    FieldReader in("batch", bytes, 0);
-    BatchHeader out;
-    out.records = in.whole<std::uint32_t>("records");
-    out.bytes = in.whole<std::uint32_t>("length");
-    out.clock = in.time("clock");
-    return out;
+    FieldReader reader("batch", bytes, 0);
+    BatchHeader header;
+    header.records = reader.integer<std::uint32_t>("records");
+    header.bytes = reader.integer<std::uint32_t>("length");
+    header.clock = reader.duration("clock");
+    return header;
 }
 
 void ReplyWriter::put(std::string_view text) {
     const auto size = static_cast<std::uint16_t>(
         std::min<std::size_t>(text.size(), std::numeric_limits<std::uint16_t>::max()));
     put(size);
-    raw(text.data(), size);
+    append(text.data(), size);
 }
 
 std::span<const std::byte> ReplyWriter::finish() {
--- a/src/simwire/host.h
+++ b/src/simwire/host.h
@@ -1,4 +1,5 @@
-// Hosts many planners on the simulator's wire: one batch in, one reply out. Translates and nothing else.
+// Hosts many planners on the simulator's wire: one batch of events in, one reply of actions out. Translates between
+// the wire and the planner's interface, and decides nothing.
 #pragma once
 
 #include <array>
@@ -10,15 +11,19 @@
 #include <string_view>
 #include <vector>
 
+#include "planner/planner.h"
 #include "simwire/codec.h"
+#include "simwire/event_codes.h"
+#include "simwire/planner_instance.h"
 
 namespace zincstack::simwire {
 
+/// Owns the planner instances, the endpoint lists that events refer to by number, and the reply.
 class Host {
 public:
+    /// Receives lines for the operator, such as that an event's code is unknown.
     using Notice = std::function<void(std::string_view)>;
     explicit Host(Notice notice);
-    ~Host();
     Host(const Host&) = delete;
     Host& operator=(const Host&) = delete;
 
@@ -26,22 +31,41 @@
     std::span<const std::byte> play(const BatchHeader& header, std::span<const std::byte> body);
 
 private:
-    struct Hosted;
-    void event(std::uint8_t code, std::span<const std::byte> fields, std::size_t offset);
-    Hosted& hosted(std::uint32_t who, const FieldReader& in);
-    template <class Call>
-    void guarded(std::uint32_t who, Hosted& at, const Call& call);
-    void open(FieldReader& in, std::uint32_t who);
-    void pool(FieldReader& in);
-    LoadReport report(FieldReader& in, const Hosted& at) const;
+    struct EventHandler;
+    static const EventHandler* findHandler(std::uint8_t code);
+
+    void handleEvent(std::uint8_t code, std::span<const std::byte> fields, std::size_t offset);
+    void noticeUnknownEvent(std::uint8_t code, std::size_t offset);
+    void decide();
+
+    // One handler for each event: it reads all its fields and hands them to the planner.
+    void handleDemandReport(FieldReader& reader);
+    void handleTimerExpired(FieldReader& reader);
+    void handleProxyLeft(FieldReader& reader);
+    void handleBarrierAcknowledged(FieldReader& reader);
+    void handleOpenInstance(FieldReader& reader);
+    void handleProxyJoined(FieldReader& reader);
+    void handleCloseInstance(FieldReader& reader);
+    void handleEndpointList(FieldReader& reader);
+    void handleProbeCompleted(FieldReader& reader);
+    void handleEndpointUpdate(FieldReader& reader);
+    void handleLoadReport(FieldReader& reader);
+    // Read for their form only.
+    void handleRangeHeld(FieldReader& reader);
+    void handleRangeLeased(FieldReader& reader);
+    void handleRangeLoad(FieldReader& reader);
+    void handlePeerMessage(FieldReader& reader);
+
+    /// The instance of that number, with the batch begun on its planner. Throws InputError: it was never opened.
+    PlannerInstance& instanceInBatch(std::uint32_t number, const FieldReader& reader);
 
     Notice notice_;
     Micros clock_{};
     ReplyWriter reply_;
-    std::map<std::uint32_t, std::unique_ptr<Hosted>> hosted_;
-    std::vector<std::uint32_t> touched_;
-    std::array<std::vector<EndpointUpdate>, 16> pools_;
-    std::array<bool, 256> noticed_{};
+    std::map<std::uint32_t, std::unique_ptr<PlannerInstance>> instances_;
+    std::vector<std::uint32_t> inBatch_; // instances in the order of their first event of the batch
+    std::array<std::vector<EndpointUpdate>, kEndpointListSlots> endpointLists_;
+    std::array<bool, 256> unknownEventsNoticed_{}; // by code
 };
 
 } // namespace zincstack::simwire
