--- a/src/load/histogram.cpp
+++ b/src/load/histogram.cpp
@@ -8,75 +8,80 @@
 
 namespace {
 
-constexpr std::uint64_t kSteps = std::uint64_t{1}
-                                 << Histogram::kBits; // buckets from a power of two to the next
+/// From a power of two to the next.
+constexpr std::uint64_t kBucketsPerDoubling = std::uint64_t{1} << Histogram::kPrecisionBits;
+
+Micros toMicros(std::uint64_t value) { return Micros(static_cast<std::int64_t>(value)); }
 
 } // namespace
 
-std::uint64_t rankOf(double hundredths, std::uint64_t count) {
-    const double rank = std::ceil(hundredths / 100 * static_cast<double>(count));
+std::uint64_t rankOf(double percent, std::uint64_t count) {
+    const double rank = std::ceil(percent / 100 * static_cast<double>(count));
     return std::clamp<std::uint64_t>(static_cast<std::uint64_t>(std::max(rank, 1.0)), 1,
                                      std::max<std::uint64_t>(count, 1));
 }
 
-/// Values below 2 * kSteps have a bucket each; above, each doubling has kSteps of them.
+/// Values below 2 * kBucketsPerDoubling have a bucket each; above, each doubling has kBucketsPerDoubling of them.
 std::size_t Histogram::bucketOf(std::uint64_t value) {
-    if (value < 2 * kSteps) return value;
-    const auto shift = static_cast<unsigned>(std::bit_width(value)) - (kBits + 1);
-    return shift * kSteps + (value >> shift);
+    if (value < 2 * kBucketsPerDoubling) return value;
+    const auto shift = static_cast<unsigned>(std::bit_width(value)) - (kPrecisionBits + 1);
+    return shift * kBucketsPerDoubling + (value >> shift);
 }
 
 std::uint64_t Histogram::middleOf(std::size_t bucket) {
-    if (bucket < 2 * kSteps) return bucket;
-    const auto shift = static_cast<unsigned>(bucket / kSteps - 1);
-    return ((bucket - shift * kSteps) << shift) + (std::uint64_t{1} << shift) / 2;
+    if (bucket < 2 * kBucketsPerDoubling) return bucket;
+    const auto shift = static_cast<unsigned>(bucket / kBucketsPerDoubling - 1);
+    return ((bucket - shift * kBucketsPerDoubling) << shift) + (std::uint64_t{1} << shift) / 2;
 }
 
 void Histogram::add(Micros value, std::uint64_t times) {
     if (times == 0) return;
-    value = std::clamp(value, Micros{}, kMost);
+    value = std::clamp(value, Micros{}, kMaxValue);
     const std::size_t bucket = bucketOf(static_cast<std::uint64_t>(value.count()));
     if (bucket >= counts_.size()) counts_.resize(bucket + 1);
     counts_[bucket] += times;
     count_ += times;
     sum_ += static_cast<double>(value.count()) * static_cast<double>(times);
-    least_ = std::min(least_, value);
-    greatest_ = std::max(greatest_, value);
+    min_ = std::min(min_, value);
+    max_ = std::max(max_, value);
 }
 
 void Histogram::merge(const Histogram& other) {
     if (other.counts_.size() > counts_.size()) counts_.resize(other.counts_.size());
-    for (std::size_t k = 0; k < other.counts_.size(); ++k) counts_[k] += other.counts_[k];
+    for (std::size_t bucket = 0; bucket < other.counts_.size(); ++bucket)
+        counts_[bucket] += other.counts_[bucket];
     count_ += other.count_;
     sum_ += other.sum_;
-    least_ = std::min(least_, other.least_);
-    greatest_ = std::max(greatest_, other.greatest_);
+    min_ = std::min(min_, other.min_);
+    max_ = std::max(max_, other.max_);
 }
 
-Micros Histogram::atRank(std::uint64_t rank) const {
+Micros Histogram::valueAtRank(std::uint64_t rank) const {
     std::uint64_t seen = 0;
-    if (rank >= count_) return greatest_;
-    for (std::size_t k = 0; k < counts_.size(); ++k)
-        if ((seen += counts_[k]) >= rank)
-            return std::clamp(Micros(static_cast<std::int64_t>(middleOf(k))), least_, greatest_);
-    return greatest_;
+    if (rank >= count_) return max_;
+    for (std::size_t bucket = 0; bucket < counts_.size(); ++bucket) {
+        seen += counts_[bucket];
+        if (seen >= rank) return std::clamp(toMicros(middleOf(bucket)), min_, max_);
+    }
+    return max_;
 }
 
-Micros Histogram::percentile(double hundredths) const { return atRank(rankOf(hundredths, count_)); }
+Micros Histogram::percentile(double percent) const { return valueAtRank(rankOf(percent, count_)); }
 
-std::uint64_t Histogram::upTo(Micros value) const {
+std::uint64_t Histogram::countUpTo(Micros value) const {
     if (value < Micros{}) return 0;
-    const auto last = bucketOf(static_cast<std::uint64_t>(std::min(value, kMost).count()));
-    std::uint64_t out = 0;
-    for (std::size_t k = 0; k < counts_.size() && k <= last; ++k) out += counts_[k];
-    return out;
+    const auto last = bucketOf(static_cast<std::uint64_t>(std::min(value, kMaxValue).count()));
+    std::uint64_t total = 0;
+    for (std::size_t bucket = 0; bucket < counts_.size() && bucket <= last; ++bucket)
+        total += counts_[bucket];
+    return total;
 }
 
-std::vector<std::pair<Micros, std::uint64_t>> Histogram::buckets() const {
-    std::vector<std::pair<Micros, std::uint64_t>> out;
-    for (std::size_t k = 0; k < counts_.size(); ++k)
-        if (counts_[k]) out.emplace_back(Micros(static_cast<std::int64_t>(middleOf(k))), counts_[k]);
-    return out;
+std::vector<Histogram::Bucket> Histogram::buckets() const {
+    std::vector<Bucket> filled;
+    for (std::size_t bucket = 0; bucket < counts_.size(); ++bucket)
+        if (counts_[bucket] > 0) filled.push_back({toMicros(middleOf(bucket)), counts_[bucket]});
+    return filled;
 }
 
 } // namespace zincstack::load
--- a/src/load/recorder.cpp
+++ b/src/load/recorder.cpp
@@ -4,37 +4,41 @@
 
 namespace zincstack::load {
 
-void Recorder::sent(Micros intended, Micros at) {
+void Recorder::requestSent(Micros scheduledAt, Micros sentAt) {
     ++sent_;
-    lag_.add(std::max(at - intended, Micros{}));
+    sendDelay_.add(std::max(sentAt - scheduledAt, Micros{}));
 }
 
-void Recorder::answered(Micros intended, Micros sentAt, Micros at, bool good) {
-    if (!good) return refused_.add(at - intended);
-    latency_.add(at - intended);
-    naive_.add(at - sentAt);
+void Recorder::requestCompleted(Micros scheduledAt, Micros sentAt, Micros completedAt,
+                                RequestOutcome outcome) {
+    if (outcome == RequestOutcome::Rejected) {
+        rejectionLatency_.add(completedAt - scheduledAt);
+        return;
+    }
+    latency_.add(completedAt - scheduledAt);
+    closedLoopLatency_.add(completedAt - sentAt);
 }
 
 void Recorder::merge(const Recorder& other) {
     latency_.merge(other.latency_);
-    naive_.merge(other.naive_);
-    refused_.merge(other.refused_);
-    lag_.merge(other.lag_);
+    closedLoopLatency_.merge(other.closedLoopLatency_);
+    rejectionLatency_.merge(other.rejectionLatency_);
+    sendDelay_.merge(other.sendDelay_);
     sent_ += other.sent_;
-    unsent_ += other.unsent_;
+    notSent_ += other.notSent_;
 }
 
-std::optional<Micros> Recorder::percentile(double hundredths) const {
-    const std::uint64_t rank = rankOf(hundredths, meant());
-    if (meant() == 0 || rank > served()) return {};
-    return latency_.atRank(rank);
+std::optional<Micros> Recorder::percentile(double percent) const {
+    const std::uint64_t rank = rankOf(percent, scheduled());
+    if (scheduled() == 0 || rank > served()) return {};
+    return latency_.valueAtRank(rank);
 }
 
-std::uint64_t Recorder::within(Micros span) const { return latency_.upTo(span); }
+std::uint64_t Recorder::servedWithin(Micros latency) const { return latency_.countUpTo(latency); }
 
-bool Recorder::sound(Micros most, double part) const {
-    const auto late = lag_.count() - lag_.upTo(most);
-    return static_cast<double>(late) <= part * static_cast<double>(lag_.count());
+bool Recorder::keptSchedule(Micros maxDelay, double maxLateFraction) const {
+    const auto late = sendDelay_.count() - sendDelay_.countUpTo(maxDelay);
+    return static_cast<double>(late) <= maxLateFraction * static_cast<double>(sendDelay_.count());
 }
 
 } // namespace zincstack::load
--- a/src/load/trace.cpp
+++ b/src/load/trace.cpp
@@ -1,133 +1,175 @@
 #include "load/trace.h"
 
-#include <zstd.h>
-
 #include <algorithm>
 #include <charconv>
-#include <memory>
 #include <optional>
+#include <utility>
+#include <variant>
 
+#include "load/compression.h"
 #include "json/json.h"
 
 namespace zincstack::load {
 
 namespace {
 
-constexpr std::string_view kHead = "at_us,product,caller";
-constexpr std::string_view kPacked = "\x28\xb5\x2f\xfd"; // how zstd's frames begin (RFC 8878)
-constexpr std::size_t kLineMost = 4096;
-
-/// Guards against a text that unpacks to more than any trace: it is unpacked in pieces up to that.
-std::optional<std::string> unpack(std::string_view packed) {
-    const std::unique_ptr<ZSTD_DStream, decltype(&ZSTD_freeDStream)> stream(ZSTD_createDStream(),
-                                                                            ZSTD_freeDStream);
-    std::string out, piece(ZSTD_DStreamOutSize(), '\0');
-    ZSTD_inBuffer in{packed.data(), packed.size(), 0};
-    std::size_t left = 1;
-    while (in.pos < in.size || left != 0) {
-        ZSTD_outBuffer into{piece.data(), piece.size(), 0};
-        left = ZSTD_decompressStream(stream.get(), &into, &in);
-        if (ZSTD_isError(left) || out.size() + into.pos > kTraceTextMost) return {};
-        if (in.pos == in.size && into.pos == 0 && left != 0) return {}; // cut off
-        out.append(piece, 0, into.pos);
-    }
-    return out;
-}
+constexpr std::string_view kCsvHeader = "at_us,product,caller";
+constexpr std::size_t kMaxLineBytes = 4096;
+constexpr std::size_t kMaxQuotedBytes = 40; // of a wrong value, in a message
+constexpr int kMaxJsonDepth = 2;
 
-std::optional<std::uint64_t> wholeOf(std::string_view text) {
+struct LineError {
+    TraceErrorKind kind;
+    std::string what;
+};
+/// The fields of a line as text, not yet checked.
+struct LineFields {
+    std::string at;
+    std::string className;
+    std::string caller;
+};
+using FieldsOrError = std::variant<LineFields, LineError>;
+using RequestOrError = std::variant<RecordedRequest, LineError>;
+
+std::optional<std::uint64_t> parseUnsigned(std::string_view text) {
     std::uint64_t out = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out);
-    return error == std::errc{} && end == text.data() + text.size() ? std::optional(out) : std::nullopt;
+    if (error != std::errc{} || end != text.data() + text.size()) return {};
+    return out;
+}
+
+std::string quote(const std::string& text) { return "'" + text.substr(0, kMaxQuotedBytes) + "'"; }
+
+FieldsOrError splitCsv(std::string_view line) {
+    const LineError notThreeFields{TraceErrorKind::InvalidSyntax, "not three fields"};
+    const auto first = line.find(',');
+    if (first == std::string_view::npos) return notThreeFields;
+    const auto second = line.find(',', first + 1);
+    if (second == std::string_view::npos) return notThreeFields;
+    if (line.find(',', second + 1) != std::string_view::npos) return notThreeFields;
+    return LineFields{std::string(line.substr(0, first)),
+                      std::string(line.substr(first + 1, second - first - 1)),
+                      std::string(line.substr(second + 1))};
+}
+
+FieldsOrError splitJson(std::string_view line) {
+    try {
+        const json::Value object = json::read(line, kMaxJsonDepth);
+        const json::Value& at = json::member(object, "at_us");
+        const json::Value& caller = json::member(object, "caller");
+        const auto* className = json::textOf(object, "product");
+        if (!className) return LineError{TraceErrorKind::InvalidSyntax, "no product"};
+        return LineFields{at.dump(), *className, caller.is_null() ? "0" : caller.dump()};
+    } catch (const InputError& error) { return LineError{TraceErrorKind::InvalidSyntax, error.what()}; }
+}
+
+/// Takes the first line off the text, without its end.
+std::string_view takeLine(std::string_view& text) {
+    const auto end = text.find('\n');
+    std::string_view line = text.substr(0, end);
+    text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
+    if (line.ends_with('\r')) line.remove_suffix(1);
+    return line;
 }
 
-struct Fields {
-    std::string at, product, caller;
+/// Reads the lines of one trace in order.
+class TraceReader {
+public:
+    TraceReader(TraceFormat format, const std::vector<std::string>& classNames, std::size_t maxErrors)
+        : format_(format), classNames_(classNames), maxErrors_(maxErrors) {}
+
+    Trace read(std::string_view text) {
+        for (std::size_t number = 1; !text.empty(); ++number) {
+            const std::string_view line = takeLine(text);
+            const bool isHeader = number == 1 && line == kCsvHeader;
+            if (!line.empty() && !isHeader) readLine(number, line);
+        }
+        if (trace_.requests.empty() && trace_.errors.empty())
+            addError(0, {TraceErrorKind::Empty, "no txn at all"});
+        return std::move(trace_);
+    }
+
+private:
+    void readLine(std::size_t number, std::string_view line) {
+        RequestOrError parsed = parseLine(line);
+        if (auto* error = std::get_if<LineError>(&parsed)) return addError(number, std::move(*error));
+        trace_.requests.push_back(std::get<RecordedRequest>(parsed));
+        last_ = trace_.requests.back().at;
+    }
+    RequestOrError parseLine(std::string_view line) const {
+        if (line.size() > kMaxLineBytes)
+            return LineError{TraceErrorKind::LineTooLong,
+                             "a line of " + std::to_string(line.size()) + " bytes"};
+        FieldsOrError fields = format_ == TraceFormat::Csv ? splitCsv(line) : splitJson(line);
+        if (auto* error = std::get_if<LineError>(&fields)) return std::move(*error);
+        return parseFields(std::get<LineFields>(fields));
+    }
+    RequestOrError parseFields(const LineFields& fields) const {
+        const auto micros = parseUnsigned(fields.at);
+        if (!micros || *micros > static_cast<std::uint64_t>(kMaxTraceTime.count()))
+            return LineError{TraceErrorKind::BadTime, "no usable time: " + quote(fields.at)};
+        const Micros at(static_cast<std::int64_t>(*micros));
+        if (at < last_)
+            return LineError{TraceErrorKind::TimeBackwards, "earlier than the line before: " + fields.at};
+        const auto name = std::ranges::find(classNames_, fields.className);
+        if (name == classNames_.end())
+            return LineError{TraceErrorKind::UnknownClass, "no such product: " + quote(fields.className)};
+        const auto caller = parseUnsigned(fields.caller);
+        if (!caller) return LineError{TraceErrorKind::BadCaller, "no usable caller: " + quote(fields.caller)};
+        const RequestClassId requestClass{static_cast<std::uint16_t>(name - classNames_.begin())};
+        return RecordedRequest{at, requestClass, *caller};
+    }
+    void addError(std::size_t line, LineError error) {
+        if (trace_.errors.size() < maxErrors_)
+            trace_.errors.push_back({error.kind, line, std::move(error.what)});
+    }
+
+    const TraceFormat format_;
+    const std::vector<std::string>& classNames_;
+    const std::size_t maxErrors_;
+    Trace trace_;
+    Micros last_{}; // of the requests read so far
 };
-/// What is wrong with the line, or nothing.
-std::string split(std::string_view line, TraceForm form, Fields& into) {
-    if (form == TraceForm::Csv) {
-        const auto first = line.find(','), second = line.find(',', first + 1);
-        if (first == std::string_view::npos || second == std::string_view::npos ||
-            line.find(',', second + 1) != std::string_view::npos)
-            return "not three fields";
-        into = {std::string(line.substr(0, first)), std::string(line.substr(first + 1, second - first - 1)),
-                std::string(line.substr(second + 1))};
-        return {};
+
+/// Appends one line of the trace.
+void appendRequest(std::string& out, const RecordedRequest& request, const std::string& className,
+                   TraceFormat format) {
+    const std::string at = std::to_string(request.at.count());
+    const std::string caller = std::to_string(request.caller);
+    if (format == TraceFormat::Csv) {
+        out += at + "," + className + "," + caller + "\n";
+        return;
     }
-    try {
-        const json::Value all = json::read(line, 2);
-        const json::Value &at = json::member(all, "at_us"), &caller = json::member(all, "caller");
-        const auto* product = json::textOf(all, "product");
-        if (!product) return "no product";
-        into = {at.dump(), *product, caller.is_null() ? "0" : caller.dump()};
-        return {};
-    } catch (const InputError& fault) { return fault.what(); }
+    const std::string quotedName = json::Value(className).dump();
+    out += "{\"at_us\":" + at + ",\"product\":" + quotedName + ",\"caller\":" + caller + "}\n";
 }
 
 } // namespace
 
-Trace readTrace(std::string_view text, const std::vector<std::string>& products, std::size_t faultsMost) {
-    Trace out;
-    const auto fault = [&](std::size_t line, std::string what) {
-        if (out.faults.size() < faultsMost) out.faults.push_back({line, std::move(what)});
-    };
-    std::optional<std::string> unpacked;
-    if (text.starts_with(kPacked)) {
-        unpacked = unpack(text);
-        if (!unpacked) return fault(0, "can't be unpacked, or is larger than any trace"), out;
-        text = *unpacked;
-    }
-    const TraceForm form = text.starts_with('{') ? TraceForm::JsonLines : TraceForm::Csv;
-    Micros last{};
-    for (std::size_t number = 1; !text.empty(); ++number) {
-        const auto end = text.find('\n');
-        auto line = text.substr(0, end);
-        text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
-        if (line.ends_with('\r')) line.remove_suffix(1);
-        if (line.empty() || (number == 1 && line == kHead)) continue;
-        Fields fields;
-        if (line.size() > kLineMost) {
-            fault(number, "a line of " + std::to_string(line.size()) + " bytes");
-            continue;
-        }
-        if (auto what = split(line, form, fields); !what.empty()) {
-            fault(number, std::move(what));
-            continue;
-        }
-        const auto at = wholeOf(fields.at), caller = wholeOf(fields.caller);
-        const auto product = std::ranges::find(products, fields.product);
-        if (!at || *at > static_cast<std::uint64_t>(kTraceMost.count()))
-            fault(number, "no usable time: '" + fields.at.substr(0, 40) + "'");
-        else if (Micros(static_cast<std::int64_t>(*at)) < last)
-            fault(number, "earlier than the line before: " + fields.at);
-        else if (product == products.end())
-            fault(number, "no such product: '" + fields.product.substr(0, 40) + "'");
-        else if (!caller)
-            fault(number, "no usable caller: '" + fields.caller.substr(0, 40) + "'");
-        else {
-            last = Micros(static_cast<std::int64_t>(*at));
-            out.txns.push_back({last, {static_cast<std::uint16_t>(product - products.begin())}, *caller});
+Trace readTrace(std::string_view text, const std::vector<std::string>& classNames, std::size_t maxErrors) {
+    std::optional<std::string> decompressed;
+    if (isCompressed(text)) {
+        decompressed = decompress(text, kMaxTraceTextBytes);
+        if (!decompressed) {
+            Trace trace;
+            if (maxErrors > 0)
+                trace.errors.push_back(
+                    {TraceErrorKind::NotDecompressible, 0, "can't be unpacked, or is larger than any trace"});
+            return trace;
         }
+        text = *decompressed;
     }
-    if (out.txns.empty() && out.faults.empty()) fault(0, "no txn at all");
-    return out;
+    const TraceFormat format = text.starts_with('{') ? TraceFormat::JsonLines : TraceFormat::Csv;
+    return TraceReader(format, classNames, maxErrors).read(text);
 }
 
-std::string writeTrace(const std::vector<Recorded>& txns, const std::vector<std::string>& products,
-                       TraceForm form, bool compressed) {
+std::string writeTrace(const std::vector<RecordedRequest>& requests,
+                       const std::vector<std::string>& classNames, TraceFormat format, bool compressed) {
     std::string out;
-    if (form == TraceForm::Csv) out.append(kHead) += '\n';
-    for (const auto& [at, product, caller] : txns) {
-        const std::string time = std::to_string(at.count()), number = std::to_string(caller);
-        const std::string& name = products[product.value];
-        out += form == TraceForm::Csv ? time + "," + name + "," + number + "\n"
-                                      : "{\"at_us\":" + time + ",\"product\":" + json::Value(name).dump() +
-                                            ",\"caller\":" + number + "}\n";
-    }
-    if (!compressed) return out;
-    std::string packed(ZSTD_compressBound(out.size()), '\0');
-    packed.resize(ZSTD_compress(packed.data(), packed.size(), out.data(), out.size(), 3));
-    return packed;
+    if (format == TraceFormat::Csv) out.append(kCsvHeader) += '\n';
+    for (const RecordedRequest& request : requests)
+        appendRequest(out, request, classNames[request.requestClass.value], format);
+    return compressed ? compress(out) : out;
 }
 
 } // namespace zincstack::load
--- a/src/load/trace.h
+++ b/src/load/trace.h
@@ -1,11 +1,12 @@
-// Recorded traces of txns, in and out: as CSV or as JSON lines, plain or compressed by zstd. No I/O: text in,
-// text out.
+// Recorded traces of requests, read and written: as CSV or as JSON lines, plain or compressed with zstd. No I/O: text
+// in, text out.
 //
 //   at_us,product,caller          {"at_us":0,"product":"lookup","caller":17}
 //   0,lookup,17
 //
 // Times are whole microseconds from the start of the trace; equal ones are kept in their order, backward ones are
-// faults. The caller is a number of any meaning; txns of one caller belong together.
+// errors. `product` names the request class. The caller is a number of any meaning; requests of one caller belong
+// together.
 #pragma once
 
 #include <cstdint>
@@ -17,29 +18,41 @@
 
 namespace zincstack::load {
 
-struct Recorded {
+struct RecordedRequest {
     Micros at;
-    RequestClassId product;
+    RequestClassId requestClass;
     std::uint64_t caller = 0;
-    friend bool operator==(const Recorded&, const Recorded&) = default;
+    friend bool operator==(const RecordedRequest&, const RecordedRequest&) = default;
 };
-struct TraceFault {
+enum class TraceErrorKind : std::uint8_t {
+    NotDecompressible,
+    Empty,
+    LineTooLong,
+    InvalidSyntax,
+    BadTime,
+    TimeBackwards,
+    UnknownClass,
+    BadCaller,
+};
+struct TraceError {
+    TraceErrorKind kind;
     std::size_t line; ///< from 1; 0: the whole text
     std::string what;
 };
 struct Trace {
-    std::vector<Recorded> txns;
-    std::vector<TraceFault> faults; ///< the first of them; where there is one, the trace is not to be played
+    std::vector<RecordedRequest> requests;
+    std::vector<TraceError> errors; ///< the first of them; where there is one, the trace is not to be played
 };
-enum class TraceForm : std::uint8_t { Csv, JsonLines };
+enum class TraceFormat : std::uint8_t { Csv, JsonLines };
 
-inline constexpr Micros kTraceMost = std::chrono::hours(48);        ///< the latest time of a txn
-inline constexpr std::size_t kTraceTextMost = std::size_t{1} << 30; ///< bytes of a text, unpacked
+inline constexpr Micros kMaxTraceTime = std::chrono::hours(48);         ///< the latest time of a request
+inline constexpr std::size_t kMaxTraceTextBytes = std::size_t{1} << 30; ///< of a text, decompressed
 
-/// Reads a trace of either form, compressed or not, as its first bytes tell. Each line that can't be used is a
-/// fault, up to `faultsMost`, and reading goes on after it.
-Trace readTrace(std::string_view text, const std::vector<std::string>& products, std::size_t faultsMost = 20);
-std::string writeTrace(const std::vector<Recorded>& txns, const std::vector<std::string>& products,
-                       TraceForm form, bool compressed);
+/// Reads a trace of either format, compressed or not, as its first bytes tell. Each line that can't be used is an
+/// error, up to `maxErrors`, and reading goes on after it. `classNames` are in the order of RequestClassId.
+Trace readTrace(std::string_view text, const std::vector<std::string>& classNames,
+                std::size_t maxErrors = 20);
+std::string writeTrace(const std::vector<RecordedRequest>& requests,
+                       const std::vector<std::string>& classNames, TraceFormat format, bool compressed);
 
 } // namespace zincstack::load
