--- a/src/command/standin.cpp
+++ b/src/command/standin.cpp
@@ -61,7 +61,7 @@
                 try {
                     agent.set(membersOf(order.file));
                     log::info("list", {{"revision", agent.revision()}});
-                    driver.poke();
+                    driver.notifyWatches();
                 } catch (const InputError& fault) { log::warn("list_unusable", {{"what", fault.what()}}); }
             }
             look();
--- a/src/standin/agent_driver.h
+++ b/src/standin/agent_driver.h
@@ -1,4 +1,4 @@
-// The stand-in agent on a socket. A thin driver.
+// The stand-in discovery agent on a socket: accepts connections and moves bytes; ListAgent has the protocol.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -9,37 +9,43 @@
 #include <array>
 #include <list>
 #include <memory>
+#include <string>
 
 #include "standin/list_agent.h"
 
 namespace zincstack::standin {
 
+/// Serves an agent on one address. Owns the listener; connections own themselves. All work is done on the thread of
+/// `io`; `agent` must outlive the driver.
 class AgentDriver {
 public:
     /// Throws boost::system::system_error where the address can't be listened on.
-    AgentDriver(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& at, ListAgent& agent);
+    AgentDriver(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, ListAgent& agent);
     void start();
     boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-    /// The list, or a fault, has changed: watches are looked at.
-    void poke();
+    /// To be called when the list or a fault of the agent has changed: answers the watches that are due.
+    void notifyWatches();
 
 private:
-    struct Visitor {
-        Visitor(boost::asio::ip::tcp::socket its, const ListAgent& agent)
-            : socket(std::move(its)), session(agent) {}
+    struct Connection {
+        Connection(boost::asio::ip::tcp::socket accepted, const ListAgent& agent)
+            : socket(std::move(accepted)), session(agent) {}
         boost::asio::awaitable<void> serve();
-        void say(const std::string& bytes);
+        void send(const std::string& bytes);
+
+        static constexpr std::size_t kReadBufferBytes = 4096;
         boost::asio::ip::tcp::socket socket;
         AgentSession session;
-        std::array<char, 4096> room{};
+        std::array<char, kReadBufferBytes> readBuffer{};
     };
-    boost::asio::awaitable<void> accept();
+    boost::asio::awaitable<void> acceptConnections();
+    void waitForWatchDeadlines();
     static Micros now();
 
     boost::asio::ip::tcp::acceptor acceptor_;
-    boost::asio::steady_timer turns_;
+    boost::asio::steady_timer watchTimer_;
     ListAgent& agent_;
-    std::list<std::weak_ptr<Visitor>> visitors_;
+    std::list<std::weak_ptr<Connection>> connections_;
 };
 
 } // namespace zincstack::standin
--- a/src/standin/list_agent.cpp
+++ b/src/standin/list_agent.cpp
@@ -4,110 +4,144 @@
 #include <charconv>
 #include <set>
 
+#include "errors/input_error.h"
+
 namespace zincstack::standin {
 
 namespace {
 
-constexpr std::size_t kHeadMost = 8 * 1024;
-constexpr std::uint64_t kWaitMost = 60'000; // ms
+constexpr std::size_t kMaxRequestHeadBytes = 8 * 1024;
+constexpr std::uint64_t kMaxWaitMillis = 60'000;
+constexpr std::string_view kHeadEnd = "\r\n\r\n";
+constexpr std::string_view kMethod = "GET ";
+constexpr std::string_view kVersion = " HTTP/1.1";
+constexpr std::string_view kListPath = "/api/targets";
 
-std::string answer(std::string_view status, const std::string& body) {
+std::string httpResponse(std::string_view status, const std::string& body) {
     return "HTTP/1.1 " + std::string(status) +
            "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) +
            "\r\n\r\n" + body;
 }
-std::optional<std::uint64_t> argument(std::string_view query, std::string_view name) {
-    const auto at = query.find(name);
+
+std::optional<std::uint64_t> queryArgument(std::string_view target, std::string_view name) {
+    const auto at = target.find(name);
     if (at == std::string_view::npos) return {};
     std::uint64_t out = 0;
-    const auto text = query.substr(at + name.size());
+    const auto text = target.substr(at + name.size());
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out);
     return error == std::errc{} ? std::optional(out) : std::nullopt;
 }
 
+void checkEntries(const json::Value& entries) {
+    if (!entries.is_array()) throw InputError("the list's members are no list");
+    for (const auto& entry : entries)
+        if (!json::textOf(entry, "id")) throw InputError("an entry of the list has no id");
+}
+
 } // namespace
 
-void ListAgent::set(const json::Value& members) {
-    std::set<std::string> named;
-    bool changed = revision_ == 0;
+void ListAgent::set(const json::Value& entries) {
+    checkEntries(entries);
     const std::uint64_t next = revision_ + 1;
-    if (!members.is_array()) throw InputError("the list's members are no list");
-    for (const auto& entry : members)
-        if (!json::textOf(entry, "id")) throw InputError("an entry of the list has no id");
-    for (const auto& entry : members) {
-        const std::string& id = *json::textOf(entry, "id");
-        named.insert(id);
-        Member& member = members_[id];
-        if (!member.gone && member.entry == entry) continue;
-        member = {entry, next, false};
+    const bool isFirst = revision_ == 0;
+    const bool hasPut = putEntries(entries, next);
+    const bool hasRemoved = removeMissing(entries, next);
+    if (isFirst || hasPut || hasRemoved) revision_ = next;
+}
+
+bool ListAgent::putEntries(const json::Value& values, std::uint64_t revision) {
+    bool changed = false;
+    for (const auto& value : values) {
+        Entry& entry = entries_[*json::textOf(value, "id")];
+        if (!entry.removed && entry.value == value) continue;
+        entry = {value, revision, false};
         changed = true;
     }
-    for (auto& [id, member] : members_) {
-        if (member.gone || named.contains(id)) continue;
-        member.gone = true;
-        member.entry["phase"] = "Gone";
-        member.changedAt = next;
+    return changed;
+}
+
+bool ListAgent::removeMissing(const json::Value& values, std::uint64_t revision) {
+    std::set<std::string_view> present;
+    for (const auto& value : values) present.insert(*json::textOf(value, "id"));
+    bool changed = false;
+    for (auto& [id, entry] : entries_) {
+        if (entry.removed || present.contains(id)) continue;
+        entry.removed = true;
+        entry.value["phase"] = "Gone";
+        entry.changedAt = revision;
         changed = true;
     }
-    if (changed) revision_ = next;
+    return changed;
 }
 
-void ListAgent::stale(bool on) {
-    if (on)
-        stale_ = Old{revision_, members_};
+void ListAgent::setStale(bool stale) {
+    if (stale)
+        stale_ = StaleList{revision_, entries_};
     else
         stale_.reset();
 }
 
-std::string ListAgent::body(bool whole, std::uint64_t after) const {
-    json::Value out{{"revision", told()}, {"complete", whole}, {"members", json::Value::array()}};
-    for (const auto& [id, member] : members())
-        if (whole ? !member.gone : member.changedAt > after) out["members"].push_back(member.entry);
+std::string ListAgent::body(bool isSnapshot, std::uint64_t afterRevision) const {
+    json::Value out{
+        {"revision", servedRevision()}, {"complete", isSnapshot}, {"members", json::Value::array()}};
+    for (const auto& [id, entry] : servedEntries()) {
+        const bool isIncluded = isSnapshot ? !entry.removed : entry.changedAt > afterRevision;
+        if (isIncluded) out["members"].push_back(entry.value);
+    }
     return out.dump();
 }
-std::string ListAgent::whole() const { return body(true, 0); }
-std::string ListAgent::since(std::uint64_t version) const { return body(false, version); }
+
+std::string ListAgent::snapshot() const { return body(true, 0); }
+
+std::string ListAgent::changesAfter(std::uint64_t revision) const { return body(false, revision); }
 
 std::string AgentSession::feed(std::string_view bytes, Micros now) {
     std::string out;
-    held_ += bytes;
+    unread_ += bytes;
     while (state_ == State::Reading) {
-        const auto end = held_.find("\r\n\r\n");
+        const auto end = unread_.find(kHeadEnd);
         if (end == std::string::npos) {
-            if (held_.size() > kHeadMost) state_ = State::Broken;
+            if (unread_.size() > kMaxRequestHeadBytes) state_ = State::Failed;
             break;
         }
-        const std::string head = held_.substr(0, end);
-        held_.erase(0, end + 4);
-        out += request(head, now);
+        const std::string head = unread_.substr(0, end);
+        unread_.erase(0, end + kHeadEnd.size());
+        out += handleRequest(head, now);
     }
     return out;
 }
 
-std::string AgentSession::request(std::string_view head, Micros now) {
+std::string AgentSession::handleRequest(std::string_view head, Micros now) {
     const auto line = head.substr(0, head.find("\r\n"));
-    if (!line.starts_with("GET ") || !line.ends_with(" HTTP/1.1")) {
-        state_ = State::Broken;
-        return answer("400 Bad Request", "{}");
+    if (!line.starts_with(kMethod) || !line.ends_with(kVersion)) {
+        state_ = State::Failed;
+        return httpResponse("400 Bad Request", "{}");
     }
-    const auto target = line.substr(4, line.size() - 4 - 9);
-    if (target.substr(0, target.find('?')) != "/api/targets") return answer("404 Not Found", "{}");
-    const auto index = argument(target, "index="), wait = argument(target, "wait=");
-    version_ = index.value_or(0);
-    until_ = now + std::chrono::milliseconds(std::min(wait.value_or(0), kWaitMost));
+    const auto target = line.substr(kMethod.size(), line.size() - kMethod.size() - kVersion.size());
+    if (target.substr(0, target.find('?')) != kListPath) return httpResponse("404 Not Found", "{}");
+    return handleListRequest(target, now);
+}
+
+/// A request with an index is a watch; one without is answered at once, unless the agent is silent.
+std::string AgentSession::handleListRequest(std::string_view target, Micros now) {
+    const auto index = queryArgument(target, "index=");
+    const auto wait = queryArgument(target, "wait=");
+    watchedRevision_ = index.value_or(0);
+    watchEndsAt_ = now + std::chrono::milliseconds(std::min(wait.value_or(0), kMaxWaitMillis));
     state_ = State::Watching;
-    if (index) return turn(now);
-    if (agent_.isSilent()) return {}; // the question stays open
+    if (index) return answerIfDue(now);
+    if (agent_.isSilent()) return {}; // the request stays open
     state_ = State::Reading;
-    return answer("200 OK", agent_.whole());
+    return httpResponse("200 OK", agent_.snapshot());
 }
 
-std::string AgentSession::turn(Micros now) {
+std::string AgentSession::answerIfDue(Micros now) {
     if (state_ != State::Watching || agent_.isSilent()) return {};
-    const bool asked = version_ != 0;
-    if (asked && agent_.told() <= version_ && now < until_) return {};
+    const bool isWatch = watchedRevision_ != 0;
+    if (isWatch && agent_.servedRevision() <= watchedRevision_ && now < watchEndsAt_) return {};
     state_ = State::Reading;
-    std::string out = answer("200 OK", asked ? agent_.since(version_) : agent_.whole());
+    std::string out =
+        httpResponse("200 OK", isWatch ? agent_.changesAfter(watchedRevision_) : agent_.snapshot());
     return out + feed({}, now);
 }
 
