--- a/tests/digest_days.h
+++ b/tests/digest_days.h
@@ -1,7 +1,7 @@
 // Recorded days: seeded runs of one part of the program, the same on every machine and in every build. A day's
-// events are the orders that were given or the bytes that were written, as short texts with exact numbers.
+// events are the updates that were ordered or the bytes that were written, as short texts with exact numbers.
 //
-// The checksums of all days are kept in tests/digests (digest_reference.h). A change of the code that must not
+// The checksums of all days are stored in tests/digests (digest_reference.h). A change of the code that must not
 // change what the program does leaves every checksum as it is.
 #pragma once
 
@@ -24,13 +24,13 @@
 class SeededNumbers {
 public:
     explicit SeededNumbers(std::uint64_t seed) : engine_(seed) {}
-    /// A whole number of 0 to `end` - 1.
+    /// An integer from 0 to `end` - 1.
     std::uint64_t below(std::uint64_t end) { return engine_() % end; }
-    /// A whole number of `first` to `last`.
+    /// An integer from `first` to `last`.
     std::uint64_t between(std::uint64_t first, std::uint64_t last) { return first + below(last - first + 1); }
-    /// A number of 0 up to, and not including, 1.
-    double share() { return static_cast<double>(engine_() >> 11) * 0x1p-53; }
-    bool chance(double probability) { return share() < probability; }
+    /// A number from 0 up to, and not including, 1.
+    double fraction() { return static_cast<double>(engine_() >> 11) * 0x1p-53; }
+    bool chance(double probability) { return fraction() < probability; }
     template <class T>
     T oneOf(std::initializer_list<T> choices) {
         return choices.begin()[below(choices.size())];
@@ -40,6 +40,7 @@
     std::mt19937_64 engine_;
 };
 
+/// What one seeded run did.
 struct RecordedDay {
     std::vector<std::string> events;
     std::map<std::string, std::size_t> coverage; ///< how often the day reached something; not compared
--- a/tests/digest_reference.cpp
+++ b/tests/digest_reference.cpp
@@ -32,9 +32,9 @@
 }
 
 /// The place of the first event whose checkpoint differs. Where one list is the start of the other, its end.
-std::size_t firstDifference(const std::string& kept, const std::string& now) {
-    const auto unequal = std::ranges::mismatch(kept, now).in1;
-    return static_cast<std::size_t>(unequal - kept.begin()) / kCheckpointDigits;
+std::size_t firstDifference(const std::string& stored, const std::string& now) {
+    const auto unequal = std::ranges::mismatch(stored, now).in1;
+    return static_cast<std::size_t>(unequal - stored.begin()) / kCheckpointDigits;
 }
 
 std::ofstream openForWriting(const std::string& path) {
@@ -62,9 +62,9 @@
     std::uint64_t seed = 0;
     std::ifstream digests(digestPath(kind));
     for (DayDigest digest; digests >> seed >> digest.events >> std::hex >> digest.checksum >> std::dec;)
-        kept_[seed] = digest;
+        stored_[seed] = digest;
     std::ifstream checkpoints(checkpointPath(kind));
-    for (std::string text; checkpoints >> seed >> text;) kept_[seed].checkpoints = text;
+    for (std::string text; checkpoints >> seed >> text;) stored_[seed].checkpoints = text;
 }
 
 std::string DigestReference::where(std::uint64_t seed) const {
@@ -72,17 +72,17 @@
 }
 
 std::optional<std::string> DigestReference::difference(std::uint64_t seed, const RecordedDay& played) const {
-    const auto found = kept_.find(seed);
-    if (found == kept_.end()) return where(seed) + ": no checksum is kept in tests/digests";
-    const DayDigest& kept = found->second;
+    const auto found = stored_.find(seed);
+    if (found == stored_.end()) return where(seed) + ": no checksum is stored in tests/digests";
+    const DayDigest& stored = found->second;
     const DayDigest now = digestOf(played);
-    if (kept.checksum == now.checksum && kept.events == now.events) return {};
-    const std::string counts = where(seed) + ": " + std::to_string(kept.events) + " events with checksum " +
-                               checksumText(kept.checksum) + " are kept, " + std::to_string(now.events) +
+    if (stored.checksum == now.checksum && stored.events == now.events) return {};
+    const std::string counts = where(seed) + ": " + std::to_string(stored.events) + " events with checksum " +
+                               checksumText(stored.checksum) + " are stored, " + std::to_string(now.events) +
                                " with checksum " + checksumText(now.checksum) + " were played";
-    if (kept.checkpoints.empty())
+    if (stored.checkpoints.empty())
         return counts + "; compare `zincstack_digests print` of two builds to see the first event";
-    const std::size_t first = firstDifference(kept.checkpoints, now.checkpoints);
+    const std::size_t first = firstDifference(stored.checkpoints, now.checkpoints);
     const std::string event =
         first < played.events.size() ? played.events[first] : "the day ends before this event";
     return counts + "; event " + std::to_string(first) + " is the first that differs: " + event;
--- a/tests/digest_simwire.cpp
+++ b/tests/digest_simwire.cpp
@@ -18,28 +18,28 @@
 
 /// Codes of events, as the simulator sends them.
 enum class Event : std::uint8_t {
-    Intake = 1,
-    Held = 2,
-    TimeoutFired = 3,
-    Left = 4,
-    TookEffect = 5,
-    Leased = 6,
+    DemandReport = 1,
+    RangeHeld = 2,
+    TimerExpired = 3,
+    ProxyLeft = 4,
+    BarrierAcknowledged = 5,
+    RangeLeased = 6,
     OpenInstance = 7,
-    DialledIn = 8,
-    Halt = 9,
-    Pool = 10,
+    ProxyJoined = 8,
+    CloseInstance = 9,
+    EndpointList = 10,
     RangeLoad = 11,
-    ProbeDone = 12,
-    Targets = 13,
-    Observed = 14,
-    NeighbourSays = 15,
+    ProbeCompleted = 12,
+    EndpointUpdate = 13,
+    LoadReport = 14,
+    PeerMessage = 15,
 };
 
 /// Codes of actions that the day answers or leaves out.
-enum class Action : std::uint8_t { Schedule = 3, Log = 5, AskLoad = 11, Stamp = 12 };
+enum class Action : std::uint8_t { ScheduleWakeUp = 3, Log = 5, Probe = 11, RequestBarrier = 12 };
 
-/// A server as the wire writes it: an address and a port.
-struct WireServer {
+/// An endpoint as the wire writes it: an address and a port.
+struct WireEndpoint {
     std::uint32_t address;
     std::uint16_t port;
 };
@@ -59,11 +59,11 @@
                        "Extra.Standing=3\nExtra.WorstTransitS=0.5\nReporting.Columns=inflight,q,busy\n"
                        "WeightKind=rough\nZones=a,b\n";
     constexpr std::string_view kEffects[] = {"retryable", "dedup", "fragile"};
-    for (int product = 0; product < 3; ++product) {
-        const std::string path = "Classes." + std::to_string(product) + ".";
+    for (int requestClass = 0; requestClass < 3; ++requestClass) {
+        const std::string path = "Classes." + std::to_string(requestClass) + ".";
         text += path + "AimS=1.0\n" + path + "DeadlineS=3.0\n";
-        text += path + "Effect=" + std::string(kEffects[product]) + "\n";
-        text += path + "Worth=" + std::to_string(3 - product) + ".0\n";
+        text += path + "Effect=" + std::string(kEffects[requestClass]) + "\n";
+        text += path + "Worth=" + std::to_string(3 - requestClass) + ".0\n";
     }
     text += numbers.chance(0.8) ? "Allowed.MayProbe=true\n" : "Allowed.MayProbe=false\n";
     text += numbers.chance(0.5) ? "Discovery=automatic\n" : "Discovery=subscribe\n";
@@ -76,8 +76,8 @@
 
 class SimwireDay {
 public:
-    explicit SimwireDay(std::uint64_t seed) : numbers_(seed), servers_(numbers_.between(4, 16)) {
-        states_.assign(servers_, std::uint8_t{1});
+    explicit SimwireDay(std::uint64_t seed) : numbers_(seed), endpoints_(numbers_.between(4, 16)) {
+        endpointStates_.assign(endpoints_, std::uint8_t{1});
     }
     RecordedDay play() {
         for (std::uint32_t instance = 1; instance <= numbers_.between(1, 3); ++instance)
@@ -123,146 +123,147 @@
             eventText(now_, "action", {{"code", std::to_string(code)}, {"bytes", hexText(bytes)}}));
         actions_.emplace_back(static_cast<Action>(code), std::vector(fields.begin(), fields.end()));
     }
-    /// Timers fire, marks take effect and probes are answered, in the next batch.
+    /// Timers fire, barriers are acknowledged and probes are answered, in the next batch.
     void answerActions() {
         for (const auto& [action, fields] : std::exchange(actions_, {})) {
-            const auto who = valueAt<std::uint32_t>(fields, 0);
-            if (!joined_.contains(who)) continue;
-            if (action == Action::Schedule) put(Event::TimeoutFired, {who, std::uint64_t{1}});
-            if (action == Action::Stamp) answerMark(who, valueAt<std::uint64_t>(fields, 5));
-            if (action == Action::AskLoad)
-                answerProbe(who, {valueAt<std::uint32_t>(fields, 4), valueAt<std::uint16_t>(fields, 8)});
+            const auto instance = valueAt<std::uint32_t>(fields, 0);
+            if (!joined_.contains(instance)) continue;
+            if (action == Action::ScheduleWakeUp) put(Event::TimerExpired, {instance, std::uint64_t{1}});
+            if (action == Action::RequestBarrier) answerBarrier(instance, valueAt<std::uint64_t>(fields, 5));
+            if (action == Action::Probe)
+                answerProbe(instance, {valueAt<std::uint32_t>(fields, 4), valueAt<std::uint16_t>(fields, 8)});
         }
     }
-    void answerMark(std::uint32_t who, std::uint64_t mark) {
-        for (const auto proxy : joined_[who])
-            if (numbers_.chance(0.9)) put(Event::TookEffect, {who, proxy, mark, 0.25});
+    void answerBarrier(std::uint32_t instance, std::uint64_t barrier) {
+        for (const auto proxy : joined_[instance])
+            if (numbers_.chance(0.9)) put(Event::BarrierAcknowledged, {instance, proxy, barrier, 0.25});
     }
-    void answerProbe(std::uint32_t who, WireServer server) {
+    void answerProbe(std::uint32_t instance, WireEndpoint endpoint) {
         if (numbers_.chance(0.1)) return;
         const bool isBad = numbers_.chance(0.6);
         const auto status = static_cast<std::uint16_t>(isBad ? numbers_.below(6) : 0);
-        Bytes fields(who, server.address, server.port, status, 0.8 * numbers_.share());
-        putReport(fields);
-        put(Event::ProbeDone, fields);
+        Bytes fields(instance, endpoint.address, endpoint.port, status, 0.8 * numbers_.fraction());
+        putReportColumns(fields);
+        put(Event::ProbeCompleted, fields);
     }
-    void putReport(Bytes& fields) {
+    void putReportColumns(Bytes& fields) {
         const auto columns = static_cast<std::uint8_t>(numbers_.below(5)); // one more than there are names
         fields.put(columns);
         for (std::uint8_t column = 0; column < columns; ++column)
-            fields.put(static_cast<float>(10 * numbers_.share()));
+            fields.put(static_cast<float>(10 * numbers_.fraction()));
     }
 
-    void openInstance(std::uint32_t who) {
+    void openInstance(std::uint32_t instance) {
         const std::string text = startText(numbers_);
         const std::uint64_t seed = numbers_.below(1000);
         put(Event::OpenInstance,
-            {who, seed, static_cast<std::uint32_t>(text.size()), std::string_view(text)});
-        joined_[who] = {};
-        tellPool(who, 0);
+            {instance, seed, static_cast<std::uint32_t>(text.size()), std::string_view(text)});
+        joined_[instance] = {};
+        tellEndpointList(instance, 0);
         for (std::uint16_t proxy = 0; proxy < kProxies; ++proxy)
-            if (numbers_.chance(0.7)) dialIn(who, proxy);
+            if (numbers_.chance(0.7)) joinProxy(instance, proxy);
     }
-    void dialIn(std::uint32_t who, std::uint16_t proxy) {
+    void joinProxy(std::uint32_t instance, std::uint16_t proxy) {
         const auto zone = static_cast<std::uint8_t>(proxy % kZones);
-        const auto rate = static_cast<float>(5 + 20 * numbers_.share());
-        put(Event::DialledIn, {who, proxy, zone, rate, static_cast<std::uint8_t>(numbers_.chance(0.6))});
-        joined_[who].insert(proxy);
+        const auto rate = static_cast<float>(5 + 20 * numbers_.fraction());
+        put(Event::ProxyJoined,
+            {instance, proxy, zone, rate, static_cast<std::uint8_t>(numbers_.chance(0.6))});
+        joined_[instance].insert(proxy);
     }
-    static WireServer server(std::size_t number) {
+    static WireEndpoint endpoint(std::size_t number) {
         return {0x0a000001U + static_cast<std::uint32_t>(number), std::uint16_t{80}};
     }
     /// Sends the list as it is, and tells the instance that it holds what the form says (0: as cached, 3: whole).
-    void tellPool(std::uint32_t who, std::uint8_t form) {
+    void tellEndpointList(std::uint32_t instance, std::uint8_t form) {
         const auto table = static_cast<std::uint16_t>(numbers_.below(16));
-        Bytes fields(table, static_cast<std::uint32_t>(servers_));
-        for (std::size_t number = 0; number < servers_; ++number) putEntry(fields, number);
-        put(Event::Pool, fields);
-        put(Event::Targets, {who, form, std::uint64_t{1}, table});
+        Bytes fields(table, static_cast<std::uint32_t>(endpoints_));
+        for (std::size_t number = 0; number < endpoints_; ++number) putEntry(fields, number);
+        put(Event::EndpointList, fields);
+        put(Event::EndpointUpdate, {instance, form, std::uint64_t{1}, table});
     }
     void putEntry(Bytes& fields, std::size_t number) {
-        const auto [address, port] = server(number);
+        const auto [address, port] = endpoint(number);
         const double readyAt = readyAt_.contains(number) ? readyAt_.at(number) : 0;
         const auto weight = static_cast<float>(1 + number % 3);
         const std::uint16_t pod = 0;
         const std::uint16_t generation = 0;
         const auto zone = static_cast<std::uint8_t>(number % kZones);
-        for (const Bytes& part :
-             {Bytes(address, port, states_[number], readyAt, weight, pod, generation, zone)})
-            fields.all.insert(fields.all.end(), part.all.begin(), part.all.end());
+        fields.put(Bytes(address, port, endpointStates_[number], readyAt, weight, pod, generation, zone));
     }
 
     std::uint32_t anyInstance() {
         return std::next(joined_.begin(), static_cast<std::ptrdiff_t>(numbers_.below(joined_.size())))->first;
     }
     void happen() {
-        const std::uint32_t who = anyInstance();
+        const std::uint32_t instance = anyInstance();
         switch (numbers_.below(8)) {
         case 0:
-        case 1: changeServer(who); break;
-        case 2: leave(who); break;
-        case 3: dialIn(who, static_cast<std::uint16_t>(numbers_.below(kProxies))); break;
-        case 4: putUnusedEvents(who); break;
+        case 1: changeEndpoint(instance); break;
+        case 2: leave(instance); break;
+        case 3: joinProxy(instance, static_cast<std::uint16_t>(numbers_.below(kProxies))); break;
+        case 4: putUnusedEvents(instance); break;
         case 5: putUnknownEvent(); break;
         case 6:
-            put(Event::Targets, {who, std::uint8_t{1}, std::uint64_t{1}, std::uint16_t{0}});
+            put(Event::EndpointUpdate, {instance, std::uint8_t{1}, std::uint64_t{1}, std::uint16_t{0}});
             break; // failed
         default:
-            if (numbers_.chance(0.4)) haltAndOpen(who);
+            if (numbers_.chance(0.4)) haltAndOpen(instance);
         }
     }
-    void changeServer(std::uint32_t who) {
-        const auto number = numbers_.below(servers_);
-        states_[number] = static_cast<std::uint8_t>(numbers_.below(3));
-        const bool isReady = states_[number] == static_cast<std::uint8_t>(EndpointState::Ready);
+    void changeEndpoint(std::uint32_t instance) {
+        const auto number = numbers_.below(endpoints_);
+        endpointStates_[number] = static_cast<std::uint8_t>(numbers_.below(3));
+        const bool isReady = endpointStates_[number] == static_cast<std::uint8_t>(EndpointState::Ready);
         if (isReady) readyAt_[number] = static_cast<double>(now_.count()) / 1e6;
-        tellPool(who, numbers_.oneOf<std::uint8_t>({2, 2, 3})); // changes, or the whole list
+        tellEndpointList(instance, numbers_.oneOf<std::uint8_t>({2, 2, 3})); // changes, or the whole list
     }
-    void leave(std::uint32_t who) {
+    void leave(std::uint32_t instance) {
         const auto proxy = static_cast<std::uint16_t>(numbers_.below(kProxies));
-        put(Event::Left, {who, proxy});
-        joined_[who].erase(proxy);
+        put(Event::ProxyLeft, {instance, proxy});
+        joined_[instance].erase(proxy);
     }
-    void haltAndOpen(std::uint32_t who) {
-        put(Event::Halt, {who});
-        openInstance(who);
+    void haltAndOpen(std::uint32_t instance) {
+        put(Event::CloseInstance, {instance});
+        openInstance(instance);
     }
     /// Events that are read for their form and used by no decision.
-    void putUnusedEvents(std::uint32_t who) {
+    void putUnusedEvents(std::uint32_t instance) {
         const std::uint16_t sheet = 3;
-        const auto [address, port] = server(0);
-        put(Event::Held, {who, 0.5F, sheet, address, port});
-        put(Event::Leased, {who, sheet, std::uint8_t{1}});
-        put(Event::RangeLoad, {who, std::uint16_t{0}, 1U, 20U, 1.0, sheet});
-        put(Event::NeighbourSays, {who, 2U, std::uint16_t{5}, std::string_view("hello")});
+        const auto [address, port] = endpoint(0);
+        put(Event::RangeHeld, {instance, 0.5F, sheet, address, port});
+        put(Event::RangeLeased, {instance, sheet, std::uint8_t{1}});
+        put(Event::RangeLoad, {instance, std::uint16_t{0}, 1U, 20U, 1.0, sheet});
+        put(Event::PeerMessage, {instance, 2U, std::uint16_t{5}, std::string_view("hello")});
     }
     void putUnknownEvent() {
-        putCode(kUnknownEvents[numbers_.below(std::size(kUnknownEvents))], {numbers_.share()});
+        putCode(kUnknownEvents[numbers_.below(std::size(kUnknownEvents))], {numbers_.fraction()});
     }
 
     void reportPeriod() {
-        if (numbers_.chance(0.2)) sick_ = numbers_.below(servers_);
+        if (numbers_.chance(0.2)) failing_ = numbers_.below(endpoints_);
         if (numbers_.chance(0.2)) allAreSlow_ = !allAreSlow_;
-        for (const auto& [who, proxies] : joined_) {
-            for (std::size_t number = 0; number < servers_; ++number)
-                if (states_[number] == static_cast<std::uint8_t>(EndpointState::Ready)) putSums(who, number);
-            for (const auto proxy : proxies) putUsage(who, proxy);
+        for (const auto& [instance, proxies] : joined_) {
+            for (std::size_t number = 0; number < endpoints_; ++number)
+                if (endpointStates_[number] == static_cast<std::uint8_t>(EndpointState::Ready))
+                    putLoadReport(instance, number);
+            for (const auto proxy : proxies) putDemandReport(instance, proxy);
         }
     }
-    void putSums(std::uint32_t who, std::size_t number) {
-        const auto [address, port] = server(number);
-        const std::uint32_t tries = 20;
-        const std::uint32_t unanswered = number == sick_ ? 17 : static_cast<std::uint32_t>(numbers_.below(2));
-        const double delay = (allAreSlow_ ? 1.5 : 0.2) + 0.1 * numbers_.share();
+    void putLoadReport(std::uint32_t instance, std::size_t number) {
+        const auto [address, port] = endpoint(number);
+        const std::uint32_t attempts = 20;
+        const std::uint32_t failures =
+            number == failing_ ? 17 : static_cast<std::uint32_t>(numbers_.below(2));
+        const double latency = (allAreSlow_ ? 1.5 : 0.2) + 0.1 * numbers_.fraction();
         const auto zone = static_cast<std::uint8_t>(numbers_.below(kZones));
-        Bytes fields(who, zone, address, port, tries, unanswered, delay, 1.0);
-        putReport(fields);
-        put(Event::Observed, fields);
+        Bytes fields(instance, zone, address, port, attempts, failures, latency, 1.0);
+        putReportColumns(fields);
+        put(Event::LoadReport, fields);
     }
-    void putUsage(std::uint32_t who, std::uint16_t proxy) {
-        const auto txns = static_cast<std::uint32_t>(numbers_.below(20));
-        const auto product = static_cast<std::uint16_t>(numbers_.below(4)); // one more than there are
-        put(Event::Intake, {who, txns, proxy, product, 1.0, 1U});
+    void putDemandReport(std::uint32_t instance, std::uint16_t proxy) {
+        const auto requests = static_cast<std::uint32_t>(numbers_.below(20));
+        const auto requestClass = static_cast<std::uint16_t>(numbers_.below(4)); // one more than there are
+        put(Event::DemandReport, {instance, requests, proxy, requestClass, 1.0, 1U});
     }
 
     SeededNumbers numbers_;
@@ -273,10 +274,10 @@
     std::uint32_t records_ = 0;
     std::vector<std::pair<Action, std::vector<std::byte>>> actions_;
     std::map<std::uint32_t, std::set<std::uint16_t>> joined_; // by instance: its proxies
-    std::size_t servers_;
-    std::vector<std::uint8_t> states_;
+    std::size_t endpoints_;
+    std::vector<std::uint8_t> endpointStates_;
     std::map<std::size_t, double> readyAt_;
-    std::size_t sick_ = 0;
+    std::size_t failing_ = 0;
     bool allAreSlow_ = false;
 };
 
--- a/tests/digest_test.cpp
+++ b/tests/digest_test.cpp
@@ -1,4 +1,4 @@
-// The first recorded days of each kind give the orders and bytes that they gave when their checksums were kept
+// The first recorded days of each kind give the updates and bytes that they gave when their checksums were stored
 // (digest_days.h). The program zincstack_digests checks all days, and writes the checksums anew after a change that
 // is meant to change what the program does.
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace zincstack::tests {
 namespace {
 
-void expectSameAsKept(std::string_view kindName) {
+void expectSameAsStored(std::string_view kindName) {
     const DayKind* kind = findDayKind(kindName);
     ASSERT_NE(kind, nullptr);
     const DigestReference reference(*kind);
@@ -18,12 +18,12 @@
     }
 }
 
-TEST(Digests, DecisionsAreAsKept) { expectSameAsKept("decisions"); }
-TEST(Digests, PushedBytesAreAsKept) { expectSameAsKept("push"); }
-TEST(Digests, BytesOfThePubsubChannelAreAsKept) { expectSameAsKept("pubsub"); }
-TEST(Digests, RepliesOnTheSimulatorsWireAreAsKept) { expectSameAsKept("simwire"); }
+TEST(Digests, DecisionsAreAsStored) { expectSameAsStored("decisions"); }
+TEST(Digests, PushedBytesAreAsStored) { expectSameAsStored("push"); }
+TEST(Digests, PubsubBytesAreAsStored) { expectSameAsStored("pubsub"); }
+TEST(Digests, SimwireRepliesAreAsStored) { expectSameAsStored("simwire"); }
 
-TEST(Digests, ADifferenceNamesTheSeedAndTheEvent) {
+TEST(Digests, DifferenceNamesTheSeedAndTheEvent) {
     const DayKind& kind = *findDayKind("simwire");
     const DigestReference reference(kind);
     RecordedDay changed = kind.play(1);
