--- a/tests/load_arrival_schedule_test.cpp
+++ b/tests/load_arrival_schedule_test.cpp
@@ -1,4 +1,4 @@
-// Arrivals drawn from a rate profile: their count, their gaps, and that the seed decides them.
+// Arrival times drawn from a rate profile: their count, their gaps, and that the seed decides them.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
