--- a/bench/planner_bench.cpp
+++ b/bench/planner_bench.cpp
@@ -257,11 +257,11 @@
     }
     static SafetyLimits safetyLimits() { return {14'700ms, 10'100ms, 0.2, 16s, 4, 3s, true}; }
     static const std::vector<RequestClassConfig>& requestClasses() {
-        static const std::vector<RequestClassConfig> classes{
+        static const std::vector<RequestClassConfig> kClasses{
             {1s, 3s, 3, 0.1, Idempotency::Idempotent, false, false},
             {1s, 4s, 2, 0.1, Idempotency::IdempotencyKeyed, false, true},
             {1s, 2s, 3, 0.1, Idempotency::NonIdempotent, false, true}};
-        return classes;
+        return kClasses;
     }
 
     // ---- schedule ------------------------------------------------------------------------------------------
--- a/src/standin/list_agent.cpp
+++ b/src/standin/list_agent.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxRequestHeadBytes = 8 * 1024;
+constexpr std::size_t kMaxRequestHeadBytes = 8192;
 constexpr std::uint64_t kMaxWaitMillis = 60'000;
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kMethod = "GET ";
@@ -140,9 +140,9 @@
     const bool isWatch = watchedRevision_ != 0;
     if (isWatch && agent_.servedRevision() <= watchedRevision_ && now < watchEndsAt_) return {};
     state_ = State::Reading;
-    std::string out =
+    const std::string answer =
         httpResponse("200 OK", isWatch ? agent_.changesAfter(watchedRevision_) : agent_.snapshot());
-    return out + feed({}, now);
+    return answer + feed({}, now);
 }
 
 } // namespace zincstack::standin
