--- a/bench/json_bench.cpp
+++ b/bench/json_bench.cpp
@@ -27,7 +27,7 @@
 
 void readsAList(benchmark::State& state) {
     const std::string text = endpointListText(static_cast<int>(state.range(0)));
-    for (auto _ : state) benchmark::DoNotOptimize(json::read(text));
+    for ([[maybe_unused]] const auto iteration : state) benchmark::DoNotOptimize(json::read(text));
     state.SetBytesProcessed(static_cast<std::int64_t>(text.size()) * state.iterations());
 }
 BENCHMARK(readsAList)->Arg(kSmallList)->Arg(kLargeList)->Unit(benchmark::kMicrosecond);
--- a/fuzz/frames.cpp
+++ b/fuzz/frames.cpp
@@ -39,6 +39,7 @@
 
 } // namespace
 
+// NOLINTNEXTLINE(readability-identifier-naming): libFuzzer prescribes the name.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     if (size == 0) return 0;
     const std::size_t pieceBytes = data[0] % kMaxPieceBytes + 1;
--- a/fuzz/operator.cpp
+++ b/fuzz/operator.cpp
@@ -33,6 +33,7 @@
 
 } // namespace
 
+// NOLINTNEXTLINE(readability-identifier-naming): libFuzzer prescribes the name.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::string_view text(reinterpret_cast<const char*>(data), size);
     readAsOperatorFile(text);
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -9,6 +9,7 @@
 #include <iterator>
 #include <string>
 
+// NOLINTNEXTLINE(readability-identifier-naming): libFuzzer prescribes the name.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
 
 namespace {
