--- a/src/planner/capacity_ledger.cpp
+++ b/src/planner/capacity_ledger.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Capacity of an endpoint over its share of the demand. The paper's links have known capacities; 1.2 lets tables
-/// differ a little while rounds are under way.
+/// Estimated capacity of an endpoint over its share of the demand. The paper knows the capacities of its
+/// links.
 constexpr double kHeadroom = 1.2;
 
 /// Listed weight of the endpoints that have served requests, on average; 0 where none has.
@@ -30,7 +30,8 @@
     : capacity_(endpoints.size(), 0), load_(endpoints.size(), 0) {
     const double meanWeight = meanWeightOfReporting(endpoints);
     for (EndpointIndex index = 0; index < endpoints.size(); ++index) {
-        // The listed weight of an endpoint that has served no request yet proves nothing: it counts as average.
+        // The listed weight of an endpoint that has served no request yet proves nothing: it counts as
+        // average.
         const bool trusted = endpoints.hasReported[index] || meanWeight <= 0;
         const double correction = trusted ? 1 : meanWeight / endpoints.listedWeight[index];
         capacity_[index] = targetWeight(endpoints, index) * correction;
--- a/src/planner/capacity_ledger.h
+++ b/src/planner/capacity_ledger.h
@@ -10,8 +10,8 @@
 /// Requests a second, by endpoint. Lives for one step of the update scheduler.
 class CapacityLedger {
 public:
-    /// Capacity is not known: it is estimated as the endpoint's share, by weight, of the total demand, with some
-    /// headroom.
+    /// Capacity is not known: it is estimated as the endpoint's share, by weight, of the total demand, with
+    /// some headroom.
     CapacityLedger(const EndpointRegistry& endpoints, double totalDemand);
 
     /// Reserves capacity, past the endpoint's limit if need be.
--- a/src/planner/channel_credit.cpp
+++ b/src/planner/channel_credit.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-/// Unacknowledged messages to one proxy, at most: a bound on memory.
+/// Unacknowledged messages to one proxy, at most.
 constexpr std::size_t kMaxUnacknowledged = 1024;
 /// The same while the proxy stalls: what is not written merges with later updates.
 constexpr std::size_t kMaxUnacknowledgedWhileStalled = 4;
@@ -30,8 +30,9 @@
     const double fraction = urgency == Urgency::Deadline ? kDeadlineQueueFraction : kOrdinaryQueueFraction;
     const double linesAfter = unacknowledgedLines_ + otherTransportLines + lines;
     if (linesAfter <= fraction * limits_.maxQueuedLines) return Admission::Granted;
-    // The queue may be full of what ended streams were written, and only the acknowledgement of a later message proves
-    // that this has left. So one message at a time may use the reserve; also one that is too large otherwise.
+    // The queue may be full of what ended streams were written, and only the acknowledgement of a later
+    // message proves that this has left. So one message at a time may use the reserve; also one that is too
+    // large otherwise.
     const bool mayUseReserve = awaitedMessages_ == 0 && linesAfter <= limits_.maxQueuedLines;
     return mayUseReserve ? Admission::Granted : Admission::QueueFull;
 }
@@ -108,8 +109,9 @@
         --awaitedMessages_;
     }
     messages.erase(messages.begin(), found + 1);
-    // The channel is a queue: what entered it before this message has left it too. That is known only of streams
-    // that had ended when it was written; bytes of an open one may still be on their way to the channel.
+    // The channel is a queue: what entered it before this message has left it too. That is known only of
+    // streams that had ended when it was written; bytes of an open one may still be on their way to the
+    // channel.
     while (!ended_.empty() && ended_.front().firstLaterSequence <= newest.sequence) {
         returnCredit(ended_.front().lines);
         ended_.pop_front();
--- a/src/planner/channel_credit.h
+++ b/src/planner/channel_credit.h
@@ -1,9 +1,10 @@
-// The exact account of a planner's control channel: which lines have been written and may still be in it, and whether
-// one more message may be written. Credit-based flow control, as in HTTP/2: a message is charged as encoded when its
-// bytes are handed to a stream, and only an acknowledgement gives its credit back; no estimate and no time-out does.
+// The exact account of a planner's control channel: which lines have been written and may still be in it, and
+// whether one more message may be written. Credit-based flow control, as in HTTP/2: a message is charged as
+// encoded when its bytes are handed to a stream, and only an acknowledgement gives its credit back; no
+// estimate and no time-out does.
 //
-// No I/O, and deterministic: the caller hands in the clock. Lines include the overhead of messages. Owns what it is
-// told of streams and messages.
+// No I/O, and deterministic: the caller hands in the clock. Lines include the overhead of messages. Owns what
+// it is told of streams and messages.
 #pragma once
 
 #include <cstddef>
@@ -17,15 +18,15 @@
 
 /// How much of the channel's queue a message may fill.
 enum class Urgency : std::uint8_t {
-    Deadline, ///< a time limit of SafetyLimits runs: exclusions, and the first table of a proxy that has joined
+    Deadline, ///< a limit of SafetyLimits runs: exclusions, and the first table of a proxy that joined
     Ordinary, ///< all else
 };
 
-/// Part of ControlChannelLimits::maxQueuedLines that messages with a deadline may fill. The rest covers what the proxies'
-/// end may count differently.
+/// Part of ControlChannelLimits::maxQueuedLines that messages with a deadline may fill. The rest is a
+/// reserve, see ChannelCredit::check().
 inline constexpr double kDeadlineQueueFraction = 0.95;
-/// The same for all other messages: the queue stays short for those with a deadline. The planner and the pub-sub
-/// channel pace themselves by the same part.
+/// The same for all other messages: the queue stays short for those with a deadline. The planner and the
+/// pub-sub channel pace themselves by the same part.
 inline constexpr double kOrdinaryQueueFraction = 0.5;
 
 class ChannelCredit {
@@ -38,22 +39,22 @@
         ProxyBlocked, ///< this proxy was sent too many messages, or owes acknowledgements for too long
         QueueFull,    ///< no message of that size and urgency may be written to any proxy
     };
-    /// Whether a message of so many lines may be written to the proxy now. `otherTransportLines`: lines on channels of
-    /// other transports that count against the same limit.
+    /// Whether a message of so many lines may be written to the proxy now. `otherTransportLines`: lines on
+    /// channels of other transports that count against the same limit.
     Admission check(ProxyId proxy, double lines, Urgency urgency, double otherTransportLines,
                     Micros now) const;
 
     void sessionOpened(ProxyId proxy);
-    /// What was written to the stream may still be in the channel: it counts until a message that was written after
-    /// the end is acknowledged.
+    /// What was written to the stream may still be in the channel: it counts until a message that was written
+    /// after the end is acknowledged.
     void sessionEnded(ProxyId proxy);
     /// A message that ends with the barrier has been handed to the proxy's stream.
     void messageWritten(ProxyId proxy, BarrierId barrier, double lines, Micros now);
-    /// That message has left the channel, and so has each one written to the proxy before it. False if the proxy owes
-    /// no acknowledgement of the barrier.
+    /// That message has left the channel, and so has each one written to the proxy before it. False if the
+    /// proxy owes no acknowledgement of the barrier.
     bool acknowledged(ProxyId proxy, BarrierId barrier);
-    /// Treats what was written to silent streams like that of ended ones. Does nothing within a second of the last call
-    /// that did.
+    /// Treats what was written to silent streams like that of ended ones. Does nothing within a second of the
+    /// last call that did.
     void detectSilentSessions(Micros now);
 
     /// Lines that may still be in the channel.
--- a/src/planner/message_ledger.h
+++ b/src/planner/message_ledger.h
@@ -1,8 +1,9 @@
-// Which messages the proxies have not acknowledged yet, and an estimate of the lines that are still in the channel.
+// Which messages the proxies have not acknowledged yet, and an estimate of the lines that are still in the
+// channel.
 //
 // Only the simulator's adapter needs the estimate: on sockets, RoutingState measures the channel exactly
-// (ChannelCredit), and RoutingUpdateSink::pendingLines() takes the place of outstandingLines(). The staged lines and
-// the missing acknowledgements are used with both.
+// (ChannelCredit), and RoutingUpdateSink::pendingLines() takes the place of outstandingLines(). The staged
+// lines and the missing acknowledgements are used with both.
 //
 // Owns the batches that may still be in the channel, and `stagedLines` and `unacknowledged` of each Proxy.
 #pragma once
@@ -19,8 +20,8 @@
 /// Lines of a message with one update, beside its overhead.
 inline constexpr double kOneUpdateLines = 1 + kBarrierLines;
 
-/// Lines are staged in the open batch, then sent with it, and leave the channel in that order: an acknowledgement of
-/// one batch proves that all earlier batches have left.
+/// Lines are staged in the open batch, then sent with it, and leave the channel in that order: an
+/// acknowledgement of one batch proves that all earlier batches have left.
 class MessageLedger {
 public:
     MessageLedger(ProxyRegistry& proxies, double messageOverheadLines)
@@ -31,8 +32,9 @@
     void stage(Proxy& proxy, double lines);
     /// Stages lines for each proxy that holds the table.
     void chargeTable(const PlannedTable& table, double lines);
-    /// Stages an exclusion for the proxies with an inherited table that joined after `joinedAfter`: a table of an
-    /// earlier planner surely names the endpoint, a bootstrap table with probability `bootstrapProbability`.
+    /// Stages an exclusion for the proxies with an inherited table that joined after `joinedAfter`: a table
+    /// of an earlier planner surely names the endpoint, a bootstrap table with probability
+    /// `bootstrapProbability`.
     void chargeInheritedTables(double bootstrapProbability, Micros joinedAfter);
     /// Sends the staged lines: they count as outstanding from now on.
     void closeBatch(BarrierId barrier, Micros now);
--- a/src/planner/planned_table.h
+++ b/src/planner/planned_table.h
@@ -9,8 +9,8 @@
 
 namespace zincstack {
 
-/// A table is full (it names all endpoints that may serve its request classes) or a subset table: a short table for
-/// proxies that have just joined, which names a few of the endpoints of one full table.
+/// A table is full (it names all endpoints that may serve its request classes) or a subset table: a short
+/// table for proxies that have just joined, which names a few of the endpoints of one full table.
 struct PlannedTable {
     TableId id;
     ZoneId zone;
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -1,5 +1,5 @@
-// The planner: keeps what its inputs say, and closes each batch with the steps of decide(). Each step is a module of
-// its own; this file only wires them and gives their order.
+// The planner: keeps what its inputs say, and closes each batch with the steps of decide(). Each step is a
+// module of its own; this file only wires them and gives their order.
 //
 //   endpoint_registry, proxy_registry, routing_tables   state
 //   health_monitor          ejects or slows endpoints that fail, readmits them, advances slow start
@@ -148,7 +148,8 @@
     const bool mayOrder = joinBudget > 0 || channel_.isMetered();
 
     if (mayOrder) urgentUpdates_.order(channelIsIdle, now_);
-    // In a depleted zone inherited tables run out of endpoints: urgent updates must not take the whole channel.
+    // In a depleted zone inherited tables run out of endpoints: urgent updates must not take the whole
+    // channel.
     if (joinBudget > 0 && (channelIsIdle || isSomeZoneDepleted())) assignment_.assignFullTables(joinBudget);
     if (channel_.isMetered()) assignment_.assignSubsetTables(now_);
     if (mayOrder) urgentUpdates_.repeatExclusions(channelIsIdle, now_);
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -1,10 +1,10 @@
-// The planner's interface: the inputs that callers hand in, the routing updates that come out, and nothing about how
-// they are decided.
+// The planner's interface: the inputs that callers hand in, the routing updates that come out, and nothing
+// about how they are decided.
 //
-// A caller (the simulator's adapter, or the batch runner on sockets) makes one planner for each instance, hands it
-// inputs with the clock, and closes each batch with decide(). Updates go to the RoutingUpdateSink that was given at
-// the start, only from inside decide(). Names on a wire are the caller's: the planner knows ids only. It is
-// deterministic: the same inputs, clock and seed give the same updates.
+// A caller (the simulator's adapter, or the batch runner on sockets) makes one planner for each instance,
+// hands it inputs with the clock, and closes each batch with decide(). Updates go to the RoutingUpdateSink
+// that was given at the start, only from inside decide(). Names on a wire are the caller's: the planner knows
+// ids only. It is deterministic: the same inputs, clock and seed give the same updates.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,7 @@
 
 namespace zincstack {
 
-// ---- configuration, read once at start ---------------------------------------------------------------------
+// ---- configuration, read once at start -------------------------------------------------------------------
 
 /// Whether a request may run twice.
 enum class Idempotency : std::uint8_t {
@@ -144,13 +144,19 @@
 /// Takes the planner's routing updates and sends them to proxies. Called only from inside Planner::decide().
 class RoutingUpdateSink {
 public:
+    RoutingUpdateSink() = default;
+    RoutingUpdateSink(const RoutingUpdateSink&) = default;
+    RoutingUpdateSink(RoutingUpdateSink&&) = default;
+    RoutingUpdateSink& operator=(const RoutingUpdateSink&) = default;
+    RoutingUpdateSink& operator=(RoutingUpdateSink&&) = default;
     virtual ~RoutingUpdateSink() = default;
     /// A weight of 0 removes the endpoint from the table.
     virtual void setWeight(TableId table, EndpointId endpoint, double weight) = 0;
     virtual void assignTable(ProxyId proxy, RequestClassSet requestClasses, TableId table) = 0;
     /// Excludes an endpoint at all proxies, whatever table they hold, or readmits it.
     virtual void setExcluded(EndpointId endpoint, bool excluded) = 0;
-    /// No table: for every joined proxy. `limit` is a fraction or a rate, as ProxyFleetConfig::throttleMode says.
+    /// No table: for every joined proxy. `limit` is a fraction or a rate, as ProxyFleetConfig::throttleMode
+    /// says.
     virtual void setAdmission(std::optional<TableId> table, RequestClassSet requestClasses, double limit,
                               RetryPolicy retryPolicy) = 0;
     /// Closes the message of each proxy that was sent an update in this batch, or of every proxy.
@@ -159,17 +165,17 @@
     virtual void subscribeToEndpoints() = 0;
     /// Planner::timerExpired() is to be called after the delay.
     virtual void scheduleWakeUp(Micros delay) = 0;
-    /// Informs the operator of a decision; it asks for nothing.
+    /// Informs the operator of a decision; it asks for nothing. Unlike updates, events come from inputs too.
     virtual void report(const PlannerEvent& event) = 0;
     /// Drops all state of an endpoint that has ended. False: an exclusion can't be taken back for an endpoint that
     /// is listed anew, so the planner has to remember it.
     virtual bool forgetEndpoint(EndpointId) { return false; }
-    /// Readmits, at a proxy with an assigned table, at most `maxEndpoints` of its tables' endpoints that an earlier
-    /// planner may have excluded there: a line each. False: there is none.
+    /// Readmits, at a proxy with an assigned table, at most `maxEndpoints` of its tables' endpoints that an
+    /// earlier planner may have excluded there: a line each. False: there is none.
     virtual bool clearStaleExclusions(ProxyId, std::size_t /*maxEndpoints*/) { return false; }
-    /// Lines that may still be in the channel, and those that wait for capacity in it, as encoded. None: the sink
-    /// does not measure, and the planner estimates. A sink that measures keeps the limit of the queue by itself:
-    /// updates that do not fit wait and are merged.
+    /// Lines that may still be in the channel, and those that wait for capacity in it, as encoded. None: the
+    /// sink does not measure, and the planner estimates. A sink that measures keeps the limit of the queue by
+    /// itself: updates that do not fit wait and are merged.
     virtual std::optional<double> pendingLines() const { return {}; }
     /// Updates wait that have no barrier to go with.
     virtual bool needsBarrier() const { return false; }
@@ -182,12 +188,17 @@
 /// Decides which endpoints the proxies' tables name. Inputs only change its state; decide() acts on them.
 class Planner {
 public:
+    Planner() = default;
+    Planner(const Planner&) = delete;
+    Planner(Planner&&) = delete;
+    Planner& operator=(const Planner&) = delete;
+    Planner& operator=(Planner&&) = delete;
     virtual ~Planner() = default;
     /// Opens a batch, or moves the clock of the open one on; it only moves forward.
     virtual void beginBatch(Micros now) = 0;
     virtual void updateEndpoints(EndpointListUpdate kind, std::span<const EndpointUpdate> entries) = 0;
-    /// `expectedRate`: requests a second, until its first demand report. `hasOnlyBootstrapTable`: it holds nothing
-    /// but the short table that it started with; false: a table of an earlier planner.
+    /// `expectedRate`: requests a second, until its first demand report. `hasOnlyBootstrapTable`: it holds
+    /// nothing but the short table that it started with; false: a table of an earlier planner.
     virtual void proxyJoined(ProxyId proxy, ZoneId zone, double expectedRate, bool hasOnlyBootstrapTable) = 0;
     virtual void proxyLeft(ProxyId proxy) = 0;
     virtual void reportLoad(const EndpointLoadReport& report) = 0;
--- a/src/planner/routing_tables.cpp
+++ b/src/planner/routing_tables.cpp
@@ -88,7 +88,7 @@
 void RoutingTables::setExcluded(EndpointIndex index, bool excluded) {
     const bool repeated = excluded && endpoints_.excluded[index];
     sink_.setExcluded(endpoints_.id[index], excluded);
-    endpoints_.excluded[index] = excluded;
+    endpoints_.excluded[index] = excluded ? 1 : 0;
     const auto endpointCount = static_cast<double>(endpoints_.knownCount());
     const double bootstrapProbability =
         std::min(1.0, kBootstrapTableSkew * bootstrapTableSize_ / endpointCount);
--- a/src/planner/routing_tables.h
+++ b/src/planner/routing_tables.h
@@ -1,8 +1,9 @@
 // The routing tables as last ordered, their target weights, and the changes that bring one to the other.
 //
-// An update is always "this weight", never "more" or "less": what is not ordered yet is the difference between the
-// installed and the target weight, so that pending operations of several changes merge (the paper's Algorithm 3,
-// Tables IV to VI). Owns the tables; charges the control channel for each update. Decides nothing about their order.
+// An update is always "this weight", never "more" or "less": what is not ordered yet is the difference
+// between the installed and the target weight, so that pending operations of several changes merge (the
+// paper's Algorithm 3, Tables IV to VI). Owns the tables; charges the control channel for each update.
+// Decides nothing about their order.
 #pragma once
 
 #include <vector>
@@ -31,8 +32,8 @@
     void beginBatch(const ProxyRegistry& proxies, Micros now);
 
     EndpointIndex fullTableCount() const;
-    /// The weight that the endpoint should have in the table. A subset table gains no endpoints this way, and a
-    /// zone in which no proxy has joined needs none.
+    /// The weight that the endpoint should have in the table. A subset table gains no endpoints this way, and
+    /// a zone in which no proxy has joined needs none.
     double targetWeightIn(const PlannedTable& table, EndpointIndex index) const;
     /// Some full table differs from its target.
     bool hasPendingChanges() const;
@@ -45,7 +46,8 @@
     void addEndpoint(PlannedTable& table, EndpointIndex index);
     /// Removes all endpoints of a table that no proxy holds: no message needs to be sent for it.
     void clear(PlannedTable& table);
-    /// Excludes the endpoint at all proxies or readmits it. To exclude it again notifies those that joined since.
+    /// Excludes the endpoint at all proxies or readmits it. To exclude it again notifies those that joined
+    /// since.
     void setExcluded(EndpointIndex index, bool excluded);
 
 private:
--- a/src/planner/subset_tables.cpp
+++ b/src/planner/subset_tables.cpp
@@ -56,7 +56,8 @@
 
     std::vector<EndpointIndex> shuffled = usable;
     std::ranges::shuffle(shuffled, random_);
-    // All tables get the same number of endpoints: some endpoints are named twice where they do not divide evenly.
+    // All tables get the same number of endpoints: some endpoints are named twice where they do not divide
+    // evenly.
     const std::size_t additionCount = subsets.size() * std::min(endpointsPerTable_, usable.size());
     std::vector<TableEndpoint> additions;
     for (std::size_t k = 0; k < additionCount; ++k)
--- a/src/planner/table_assignment.cpp
+++ b/src/planner/table_assignment.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Endpoints of a subset table that are readmitted with it, so that the proxy surely has one that no earlier planner
-/// has excluded there.
+/// Endpoints of a subset table that are readmitted with it, so that the proxy surely has one that no earlier
+/// planner has excluded there.
 constexpr std::size_t kFirstReadmissions = 2;
 
 struct RankedProxy {
--- a/src/planner/update_scheduler.cpp
+++ b/src/planner/update_scheduler.cpp
@@ -83,7 +83,7 @@
     return state_ == RoundState::Idle || isStepAcknowledged(now);
 }
 
-// ---- one step (the paper's Algorithm 5) --------------------------------------------------------------------
+// ---- one step (the paper's Algorithm 5) ------------------------------------------------------------------
 
 void UpdateScheduler::executeStep(Micros now) {
     stepSentAt_ = now;
@@ -132,8 +132,8 @@
     return ledger;
 }
 
-/// Releases, the first part of Algorithm 5, lines 3-11: removals that depend on nothing: of tables without additions or without demand, and of
-/// endpoints out of service. True if one was ordered.
+/// Releases, the first part of Algorithm 5, lines 3-11: removals that depend on nothing: of tables without
+/// additions or without demand, and of endpoints out of service. True if one was ordered.
 bool UpdateScheduler::orderReleases(const std::vector<PendingOperation>& operations) {
     bool hasProgress = false;
     for (const PendingOperation& operation : operations) {
@@ -146,14 +146,15 @@
     return hasProgress;
 }
 
-/// Operations whose completion releases most endpoints come first: the paper's nodes with most out-edges. Ties keep
-/// the order of the tables.
+/// Operations whose completion releases most endpoints come first: the paper's nodes with most out-edges.
+/// Ties keep the order of the tables.
 void UpdateScheduler::rankByReleases(std::vector<PendingOperation>& operations) {
     std::ranges::stable_sort(operations, std::ranges::greater{},
                              [](const PendingOperation& operation) { return operation.removals.size(); });
 }
 
-/// The fit check, the second part of Algorithm 5, lines 3-11: orders additions while their endpoints have capacity left.
+/// The fit check, the second part of Algorithm 5, lines 3-11: orders additions while their endpoints have
+/// capacity left.
 UpdateScheduler::FitCheck
 UpdateScheduler::orderFittingAdditions(const std::vector<PendingOperation>& operations,
                                        CapacityLedger& ledger) {
@@ -167,7 +168,8 @@
     double fittingFraction = kNothingBlocked;
     double blockedRate = 0;
     for (const EndpointIndex index : operation.additions) {
-        // The additions share the demand: each counts with its part of the table as it will be after all of them.
+        // The additions share the demand: each counts with its part of the table as it will be after all of
+        // them.
         const double fractionAfter = routing_.targetWeightIn(*operation.table, index) /
                                      (operation.totalWeight + operation.addedWeight);
         const double addedRate = operation.demand * (fractionAfter - weightFraction(operation, index));
@@ -185,9 +187,9 @@
         check.leastLoss = {.operation = &operation, .lossRatio = lossRatio, .rate = blockedRate};
 }
 
-/// Nothing fits (Algorithm 5, lines 13-16): the operation with the least throughput loss ratio moves nevertheless,
-/// and its table admits less until the step ends. The paper limits the whole flow; here only the blocked part of the
-/// demand moves, so only that part counts.
+/// Nothing fits (Algorithm 5, lines 13-16): the operation with the least throughput loss ratio moves
+/// nevertheless, and its table admits less until the step ends. The paper limits the whole flow; here only
+/// the blocked part of the demand moves, so only that part counts.
 void UpdateScheduler::breakDeadlock(const BlockedAdditions& leastLoss) {
     const PendingOperation& operation = *leastLoss.operation;
     const double rateLimitFraction = 1 - leastLoss.lossRatio * leastLoss.rate / operation.demand;
--- a/src/planner/update_scheduler.h
+++ b/src/planner/update_scheduler.h
@@ -1,11 +1,12 @@
-// Consistent updates in rounds, as in the Coeus paper (docs/design.md names its algorithms and what differs here).
+// Consistent updates in rounds, as in the Coeus paper (docs/design.md names its algorithms and what differs
+// here).
 //
-// Changes gather for a window; then a step orders those that fit the endpoints' capacities, and the next step follows
-// once all proxies have acknowledged it, until nothing is pending. Additions precede removals within a table
-// (Theorem 4), so that at no time the endpoints of a table carry more than they can.
+// Changes gather for a window; then a step orders those that fit the endpoints' capacities, and the next step
+// follows once all proxies have acknowledged it, until nothing is pending. Additions precede removals within
+// a table (Theorem 4), so that at no time the endpoints of a table carry more than they can.
 //
-// Owns the state of the round and each full table's `rateLimitFraction`. Everything that bypasses the rounds is in
-// urgent_updates.h; subset tables are in table_assignment.h.
+// Owns the state of the round and each full table's `rateLimitFraction`. Everything that bypasses the rounds
+// is in urgent_updates.h; subset tables are in table_assignment.h.
 #pragma once
 
 #include <optional>
--- a/src/planner/urgent_updates.cpp
+++ b/src/planner/urgent_updates.cpp
@@ -39,8 +39,8 @@
     if (!isReferenced && sink_.forgetEndpoint(endpoints_.id[index])) endpoints_.forget(index);
 }
 
-/// An endpoint that warms up can't carry its weight: it loses it at once. Any other in slow start (readmitted, or
-/// its weight reduced) loses some only while the channel is idle.
+/// An endpoint that warms up can't carry its weight: it loses it at once. Any other in slow start
+/// (readmitted, or its weight reduced) loses some only while the channel is idle.
 void UrgentUpdates::lowerWeights(EndpointIndex index, bool outOfService, bool channelIsIdle, Micros now) {
     const bool isWarmingUp = health_.warmUpFraction(index, now) < 1;
     const bool isInSlowStart = endpoints_.slowStartStep[index] < kSlowStartSteps;
--- a/src/planner/urgent_updates.h
+++ b/src/planner/urgent_updates.h
@@ -1,6 +1,6 @@
-// Updates that wait for no round: an endpoint that ended, drains or was ejected leaves all tables, an endpoint that
-// has just restarted loses weight, and no table stays without an endpoint. They bypass the capacity ledger; on the
-// control channel they may use the part of the queue that is reserved for deadlines.
+// Updates that wait for no round: an endpoint that ended, drains or was ejected leaves all tables, an
+// endpoint that has just restarted loses weight, and no table stays without an endpoint. They bypass the
+// capacity ledger; on the control channel they may use the part of the queue that is reserved for deadlines.
 //
 // Owns only the time at which exclusions were last repeated.
 #pragma once
@@ -10,7 +10,8 @@
 
 namespace zincstack {
 
-/// Whether so many of a zone's endpoints are excluded that its proxies with inherited tables may run out of them.
+/// Whether so many of a zone's endpoints are excluded that its proxies with inherited tables may run out of
+/// them.
 bool isDepleted(const EndpointRegistry& endpoints, ZoneId zone);
 
 class UrgentUpdates {
@@ -21,13 +22,13 @@
           sink_(sink) {}
 
     void order(bool channelIsIdle, Micros now);
-    /// Excludes again, for proxies that joined since with an inherited table, what was excluded before: hundreds
-    /// that join at once can't all be assigned a table within the drain grace period.
+    /// Excludes again, for proxies that joined since with an inherited table, what was excluded before:
+    /// hundreds that join at once can't all be assigned a table within the drain grace period.
     void repeatExclusions(bool channelIsIdle, Micros now);
 
 private:
-    /// Forgets an endpoint that ended so long ago that no inherited table can name it. It bounds the size of the
-    /// registry, and spares its lines at each join.
+    /// Forgets an endpoint that ended so long ago that no inherited table can name it. It bounds the size of
+    /// the registry, and spares its lines at each join.
     void forgetIfUnreferenced(EndpointIndex index, Micros now);
     void lowerWeights(EndpointIndex index, bool outOfService, bool channelIsIdle, Micros now);
     void exclude(EndpointIndex index);
