--- a/tests/digest_decisions.cpp
+++ b/tests/digest_decisions.cpp
@@ -207,7 +207,7 @@
         case 9: join(static_cast<std::uint16_t>(numbers_.below(24))); break;
         case 10: release(); break;
         case 11: sendCompleteList(); break;
-        case 12: model_.slowdown = numbers_.chance(0.5) ? 1 : 1 + 4 * numbers_.share(); break;
+        case 12: model_.slowdown = numbers_.chance(0.5) ? 1 : 1 + 4 * numbers_.fraction(); break;
         default:
             if (numbers_.chance(0.4)) model_.restart(numbers_.below(1000));
         }
@@ -263,8 +263,8 @@
     double failureRatio(EndpointId endpoint) {
         if (!isAffected(endpoint)) return numbers_.chance(0.1) ? 0.1 : 0;
         if (condition_ == Condition::FewFail) return numbers_.oneOf({0.6, 0.8, 1.0});
-        if (condition_ == Condition::MostFail) return 0.3 + 0.7 * numbers_.share();
-        return 0.2 * numbers_.share();
+        if (condition_ == Condition::MostFail) return 0.3 + 0.7 * numbers_.fraction();
+        return 0.2 * numbers_.fraction();
     }
     Micros latencyOf(EndpointId endpoint) {
         const bool isSlow = isAffected(endpoint) && condition_ != Condition::FewFail;
@@ -275,7 +275,7 @@
         double rate = 0;
         for (const auto& [id, proxy] : model_.proxies) rate += rateOf(id.value);
         const double lines = static_cast<double>(model_.listed.size()) * model_.fleet.zoneCount;
-        const auto attempts = static_cast<std::uint32_t>(rate * (0.7 + numbers_.share()) / lines) + 3;
+        const auto attempts = static_cast<std::uint32_t>(rate * (0.7 + numbers_.fraction()) / lines) + 3;
         model_.batch([&] {
             for (const auto& [id, one] : model_.listed)
                 if (one.entry.state == EndpointState::Ready && !model_.excluded.contains(id))
@@ -290,15 +290,15 @@
                 .endpoint = endpoint, .proxyZone = {zone}, .attempts = attempts, .interval = 1s, .load = {}};
             report.failures = static_cast<std::uint32_t>(attempts * failureRatio(endpoint));
             if (report.failures < attempts) report.meanLatency = latencyOf(endpoint);
-            if (numbers_.chance(0.5)) report.load.inFlight = isAffected(endpoint) ? 40 : 5 * numbers_.share();
-            if (numbers_.chance(0.2)) report.load.queueLength = 10 * numbers_.share();
+            if (numbers_.chance(0.5)) report.load.inFlight = isAffected(endpoint) ? 40 : 5 * numbers_.fraction();
+            if (numbers_.chance(0.2)) report.load.queueLength = 10 * numbers_.fraction();
             model_.planner->reportLoad(report);
         }
     }
     void reportProxyDemand(ProxyId proxy) {
         for (std::uint16_t requestClass = 0; requestClass < model_.requestClasses.size(); ++requestClass) {
             const double each = rateOf(proxy.value) / static_cast<double>(model_.requestClasses.size());
-            const auto requests = static_cast<std::uint32_t>(each * (0.8 + 0.4 * numbers_.share()));
+            const auto requests = static_cast<std::uint32_t>(each * (0.8 + 0.4 * numbers_.fraction()));
             model_.planner->reportDemand({proxy, {requestClass}, requests, requests / 10, 1s});
         }
     }
@@ -316,7 +316,7 @@
         else if (numbers_.chance(0.1))
             result.status = ProbeStatus::TimedOut;
         if (numbers_.chance(0.2)) result.latency = 400ms + anyMicros(1s);
-        if (numbers_.chance(0.3)) result.load.inFlight = 40 * numbers_.share();
+        if (numbers_.chance(0.3)) result.load.inFlight = 40 * numbers_.fraction();
         return result;
     }
     void passPart() { model_.advance(50ms * static_cast<std::int64_t>(numbers_.between(4, 16))); }
--- a/tests/digest_pubsub.cpp
+++ b/tests/digest_pubsub.cpp
@@ -151,7 +151,7 @@
             std::optional<TableId> table;
             if (numbers_.chance(0.8)) table = PubsubHarness::tableOf(numbers_.below(PubsubHarness::kZones));
             const auto retryPolicy = static_cast<RetryPolicy>(numbers_.below(4));
-            harness_.routingState.setAdmission(table, requestClasses, numbers_.share(), retryPolicy);
+            harness_.routingState.setAdmission(table, requestClasses, numbers_.fraction(), retryPolicy);
         });
     }
     void reportDemand() {
