--- a/src/config/start_file.cpp
+++ b/src/config/start_file.cpp
@@ -11,8 +11,7 @@
 namespace {
 
 std::string plainWord(std::string text) {
-    std::ranges::replace_if(
-        text, [](char one) { return one == ' ' || one == ',' || one == '\n'; }, '_');
+    std::ranges::replace_if(text, [](char one) { return one == ' ' || one == ',' || one == '\n'; }, '_');
     return text;
 }
 
--- a/tests/digest_decisions.cpp
+++ b/tests/digest_decisions.cpp
@@ -290,7 +290,8 @@
                 .endpoint = endpoint, .proxyZone = {zone}, .attempts = attempts, .interval = 1s, .load = {}};
             report.failures = static_cast<std::uint32_t>(attempts * failureRatio(endpoint));
             if (report.failures < attempts) report.meanLatency = latencyOf(endpoint);
-            if (numbers_.chance(0.5)) report.load.inFlight = isAffected(endpoint) ? 40 : 5 * numbers_.fraction();
+            if (numbers_.chance(0.5))
+                report.load.inFlight = isAffected(endpoint) ? 40 : 5 * numbers_.fraction();
             if (numbers_.chance(0.2)) report.load.queueLength = 10 * numbers_.fraction();
             model_.planner->reportLoad(report);
         }
--- a/tests/planner_event_test.cpp
+++ b/tests/planner_event_test.cpp
@@ -25,8 +25,7 @@
 TEST(PlannerEvent, IsLoggedWithTheNameOfItsEndpoint) {
     net::NameRegistry names({"payments"}, {"east"});
     net::Counters counters;
-    routing::RoutingState state(
-        names, counters, [](EndpointId) {}, [](Micros) {});
+    routing::RoutingState state(names, counters, [](EndpointId) {}, [](Micros) {});
     const EndpointId endpoint = names.registerEndpoint("s-2");
     log::start(log::Format::Text, log::Level::Info);
     testing::internal::CaptureStderr();
