--- a/fuzz/operator.cpp
+++ b/fuzz/operator.cpp
@@ -25,7 +25,7 @@
 
 void readAsStartFile(std::string_view text) {
     try {
-        config::readStartSettings(net::readStartFile(text).flat);
+        config::readStartSettings(config::parseStartFile(text).settings);
     } catch (const InputError&) {
         // Expected of nearly every text.
     }
--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -12,38 +12,44 @@
 
 namespace {
 
-/// A start file has terms; the reader itself has the last word on them, where the schema finds nothing.
-std::vector<json::Fault> faultsOfPosting(const json::Value& all, std::string_view text) {
-    auto out = json::faultsOf(all, config::kPostingSchema);
-    if (!out.empty()) return out;
+constexpr int kExitOk = 0;
+constexpr int kExitUnusableInput = 2;
+
+/// Where the schema finds nothing, the settings are read as the planner would read them.
+std::vector<json::ValidationError> findStartFileErrors(const json::Value& root, std::string_view text) {
+    auto errors = json::validate(root, config::kPostingSchema);
+    if (!errors.empty()) return errors;
     try {
-        config::readStartSettings(net::readStartFile(text).flat);
-    } catch (const InputError& error) { out.push_back({"/settings", error.what()}); }
-    return out;
+        config::readStartSettings(config::parseStartFile(text).settings);
+    } catch (const InputError& error) { errors.push_back({"/settings", error.what()}); }
+    return errors;
 }
 
-std::vector<json::Fault> faultsOfFile(const std::string& file) {
+/// A file with settings is a start file.
+std::vector<json::ValidationError> findFileErrors(const std::string& file) {
     try {
         const std::string text = config::readFile(file);
-        const json::Value all = json::read(text);
-        return all.contains("settings") ? faultsOfPosting(all, text) : config::findOperatorConfigErrors(text);
+        const json::Value root = json::read(text);
+        return root.contains("settings") ? findStartFileErrors(root, text)
+                                         : config::findOperatorConfigErrors(text);
     } catch (const InputError& error) { return {{"", error.what()}}; }
 }
 
 } // namespace
 
-int check(const Check& order, std::ostream& out) {
-    int code = 0;
-    for (const auto& file : order.files) {
-        const auto faults = faultsOfFile(file);
-        for (const auto& [pointer, what] : faults)
-            out << file << ": " << (pointer.empty() ? "/" : pointer) << ": " << what << "\n";
-        if (faults.empty())
+int check(const CheckOptions& options, std::ostream& out) {
+    int exitCode = kExitOk;
+    for (const auto& file : options.files) {
+        const auto errors = findFileErrors(file);
+        if (errors.empty()) {
             out << file << ": can be used\n";
-        else
-            code = 2;
+            continue;
+        }
+        exitCode = kExitUnusableInput;
+        for (const auto& [pointer, message] : errors)
+            out << file << ": " << (pointer.empty() ? "/" : pointer) << ": " << message << "\n";
     }
-    return code;
+    return exitCode;
 }
 
 } // namespace zincstack::command
--- a/src/command/check.h
+++ b/src/command/check.h
@@ -1,4 +1,4 @@
-// `zincstack check`: every fault of start files and operator's files, by its place.
+// `zincstack check`: prints every fault of start files and operator's files with its place.
 #pragma once
 
 #include <ostream>
@@ -7,7 +7,7 @@
 
 namespace zincstack::command {
 
-/// The exit code: 0 where all files can be used, 2 otherwise. A line a fault: file, JSON pointer, what is wrong.
-int check(const Check& order, std::ostream& out);
+/// One line for each fault: file, JSON pointer, what is wrong. The exit code: 0 where all files can be used, else 2.
+int check(const CheckOptions& options, std::ostream& out);
 
 } // namespace zincstack::command
--- a/src/command/command_line.cpp
+++ b/src/command/command_line.cpp
@@ -4,58 +4,82 @@
 
 namespace zincstack::command {
 
-std::variant<Order, int> read(int count, const char* const* words) {
-    CLI::App app{"Assigns servers to forwarders: runs one planner, or looks at one.", "zincstack"};
-    app.set_version_flag("--version", "zincstack " ZINCSTACK_VERSION);
-    app.footer(
-        "Without a subcommand it runs the planner. PROXY_CONFIG names the start file; PROXY_NAME,\n"
-        "PROXY_LISTEN and PROXY_DISCOVERY go before its fields. Exit codes: 0 ended as asked, 1 a failure,\n"
-        "2 something given can't be used.");
-    Run run;
-    Check check;
-    Subscribe subscribe;
-    std::uint16_t proxy = 0;
+namespace {
 
-    app.add_option("--operator", run.operatorFile, "Operator's file, see deploy/operator.json")
+constexpr int kExitUsageError = 2;
+
+void addRunOptions(CLI::App& app, RunOptions& options) {
+    app.add_option("--operator", options.operatorFile, "Operator's file, see deploy/operator.json")
         ->type_name("FILE");
-    auto* const runs = app.add_subcommand("run", "Run the planner (also without any subcommand)");
-    runs->add_option("--operator", run.operatorFile, "Operator's file")->type_name("FILE");
+}
+
+CLI::App* addRun(CLI::App& app, RunOptions& options) {
+    auto* const run = app.add_subcommand("run", "Run the planner (also without any subcommand)");
+    run->add_option("--operator", options.operatorFile, "Operator's file")->type_name("FILE");
+    return run;
+}
 
-    auto* const checks = app.add_subcommand("check", "Look for faults in start files and operator's files");
-    checks->add_option("FILE", check.files, "Files, of either kind")->required();
+CLI::App* addCheck(CLI::App& app, CheckOptions& options) {
+    auto* const check = app.add_subcommand("check", "Look for faults in start files and operator's files");
+    check->add_option("FILE", options.files, "Files, of either kind")->required();
+    return check;
+}
 
-    auto* const watches = app.add_subcommand("subscribe", "Print a zone's tables as they change");
-    watches
-        ->add_option("ADDRESS", subscribe.planners,
+CLI::App* addSubscribe(CLI::App& app, SubscribeOptions& options) {
+    auto* const subscribe = app.add_subcommand("subscribe", "Print a zone's tables as they change");
+    subscribe
+        ->add_option("ADDRESS", options.planners,
                      "Where a planner's channel listens; several are tried in turn")
         ->required();
-    watches->add_option("--zone", subscribe.zone, "The zone")->required();
-    auto* const joins = watches->add_option("--proxy", proxy, "Join as this proxy; without it only watch");
-    watches->add_option("--weight", subscribe.weight, "Rough txns a second of that proxy")->needs(joins);
-    watches->add_flag("--json", subscribe.json, "One JSON object a line, for programs");
-    watches->add_option("--changes", subscribe.changes, "End after so many changes");
-    Standin standin;
-    auto* const standins = app.add_subcommand("standin", "Run a stand-in of an outside system, for drills");
-    auto* const agent =
-        standins->add_subcommand("discovery", "The agent of discovery, from a file with the list");
-    agent->add_option("FILE", standin.file, "The list; it may be changed while this runs")->required();
-    agent->add_option("--listen", standin.listen, "Address")->default_val("127.0.0.1:8500");
-    standins->require_subcommand(1);
+    subscribe->add_option("--zone", options.zone, "The zone")->required();
+    auto* const proxy =
+        subscribe->add_option("--proxy", options.proxy, "Join as this proxy; without it only watch");
+    subscribe->add_option("--weight", options.weight, "Rough txns a second of that proxy")->needs(proxy);
+    subscribe->add_flag("--json", options.json, "One JSON object a line, for programs");
+    subscribe->add_option("--changes", options.changes, "End after so many changes");
+    return subscribe;
+}
+
+CLI::App* addStandin(CLI::App& app, StandinOptions& options) {
+    auto* const standin = app.add_subcommand("standin", "Run a stand-in of an outside system, for drills");
+    auto* const discovery =
+        standin->add_subcommand("discovery", "The agent of discovery, from a file with the list");
+    discovery->add_option("FILE", options.file, "The list; it may be changed while this runs")->required();
+    discovery->add_option("--listen", options.listen, "Address")->default_val("127.0.0.1:8500");
+    standin->require_subcommand(1);
+    return standin;
+}
+
+} // namespace
+
+std::variant<Command, int> parseCommandLine(int argumentCount, const char* const* arguments) {
+    CLI::App app{"Assigns servers to forwarders: runs one planner, or looks at one.", "zincstack"};
+    app.set_version_flag("--version", "zincstack " ZINCSTACK_VERSION);
+    app.footer(
+        "Without a subcommand it runs the planner. PROXY_CONFIG names the start file; PROXY_NAME,\n"
+        "PROXY_LISTEN and PROXY_DISCOVERY go before its fields. Exit codes: 0 ended as asked, 1 a failure,\n"
+        "2 something given can't be used.");
+    RunOptions runOptions;
+    CheckOptions checkOptions;
+    SubscribeOptions subscribeOptions;
+    StandinOptions standinOptions;
+    addRunOptions(app, runOptions);
+    addRun(app, runOptions);
+    const auto* const check = addCheck(app, checkOptions);
+    const auto* const subscribe = addSubscribe(app, subscribeOptions);
+    const auto* const standin = addStandin(app, standinOptions);
     app.require_subcommand(0, 1);
 
     try {
-        app.parse(count, words);
+        app.parse(argumentCount, arguments);
     } catch (const CLI::ParseError& error) {
-        const int code = app.exit(error);
-        return code == 0 ? 0 : 2;
-    }
-    if (*checks) return Order(check);
-    if (*watches) {
-        if (*joins) subscribe.proxy = proxy;
-        return Order(subscribe);
+        const int exitCode = app.exit(error);
+        return exitCode == 0 ? 0 : kExitUsageError;
     }
-    if (*standins) return Order(standin);
-    return Order(run);
+    if (*check) return Command(checkOptions);
+    if (*subscribe) return Command(subscribeOptions);
+    if (*standin) return Command(standinOptions);
+    return Command(runOptions);
 }
 
 } // namespace zincstack::command
--- a/src/command/command_line.h
+++ b/src/command/command_line.h
@@ -1,4 +1,4 @@
-// The command line: what is to be done, and with which files and addresses.
+// The command line: the subcommand that was chosen and its options.
 #pragma once
 
 #include <cstdint>
@@ -9,28 +9,33 @@
 
 namespace zincstack::command {
 
-struct Run {
+struct RunOptions {
     std::string operatorFile; ///< empty: none
 };
-struct Check {
+
+struct CheckOptions {
     std::vector<std::string> files;
 };
-struct Subscribe {
+
+struct SubscribeOptions {
     std::vector<std::string> planners; ///< addresses, tried in turn
     std::string zone;
-    std::optional<std::uint16_t> proxy; ///< none: it only watches
+    std::optional<std::uint16_t> proxy; ///< none: watch only
     double weight = 1;
     bool json = false;
-    std::uint32_t changes = 0; ///< ends after so many; 0: never
+    std::uint32_t changes = 0; ///< end after so many; 0: never
 };
-struct Standin {      ///< of discovery
-    std::string file; ///< the list, in discovery's form; looked at again when it changes
+
+/// The stand-in of discovery.
+struct StandinOptions {
+    std::string file; ///< the endpoint list, in discovery's form; read again when it changes
     std::string listen;
 };
-using Order = std::variant<Run, Check, Subscribe, Standin>;
 
-/// What was asked for; or the exit code where that is all (help, version, a line that can't be read), after it
-/// was told on the standard streams.
-std::variant<Order, int> read(int count, const char* const* words);
+using Command = std::variant<RunOptions, CheckOptions, SubscribeOptions, StandinOptions>;
+
+/// The command with its options. Where nothing is left to do (help, version, an error in the command line) it has
+/// been printed, and the exit code is returned.
+std::variant<Command, int> parseCommandLine(int argumentCount, const char* const* arguments);
 
 } // namespace zincstack::command
--- /dev/null
+++ b/src/command/daemon.cpp
@@ -0,0 +1,225 @@
+#include "command/daemon.h"
+
+#include <sys/resource.h>
+
+#include <algorithm>
+#include <csignal>
+#include <exception>
+#include <functional>
+#include <optional>
+#include <utility>
+
+#include "errors/input_error.h"
+#include "log/log.h"
+#include "net/address.h"
+
+namespace zincstack::command {
+
+namespace {
+
+namespace asio = boost::asio;
+using namespace std::chrono_literals;
+
+constexpr Micros kDiscoveryGracePeriod = 500ms; // for the first endpoint list; then the cached one has to do
+
+asio::ip::tcp::endpoint requireAddress(std::string_view field, const std::string& text) {
+    const auto address = net::parseAddress(text);
+    if (!address) throw InputError("the address " + std::string(field) + " can't be read: '" + text + "'");
+    return *address;
+}
+
+/// The configured limit, or that of the process where it is lower.
+std::size_t availableDescriptors(std::uint32_t configuredLimit) {
+    rlimit processLimit{};
+    if (getrlimit(RLIMIT_NOFILE, &processLimit) != 0) return configuredLimit;
+    return std::min<std::size_t>(configuredLimit, processLimit.rlim_cur);
+}
+
+/// The descriptors left beside those of the pub-sub subscribers. Throws InputError where there are none.
+std::size_t descriptorsBesidePubsub(std::uint32_t configuredLimit,
+                                    const std::optional<config::PubsubConfig>& pubsub) {
+    const std::size_t available = availableDescriptors(configuredLimit);
+    const std::size_t reserved = pubsub ? pubsub->maxSubscribers : 0;
+    if (reserved >= available)
+        throw InputError("/channel/subscribers: " + std::to_string(reserved) + ", and there are " +
+                         std::to_string(available) + " descriptors in all");
+    return available - reserved;
+}
+
+net::ResourceBudget resourceBudgetOf(const DaemonConfig& config) {
+    const config::StartFile& startFile = config.startFile;
+    return net::divideLimits(descriptorsBesidePubsub(startFile.maxDescriptors, config.operatorConfig.pubsub),
+                             startFile.memoryMegabytes, config.settings.proxies.proxyCount,
+                             config.settings.zoneNames.size());
+}
+
+std::unique_ptr<Planner> makePlannerOf(const DaemonConfig& config, routing::RoutingState& routingState) {
+    const config::StartSettings& settings = config.settings;
+    return makePlanner({config.startFile.seed, settings.fleet, settings.proxies, settings.controlChannel,
+                        settings.safetyLimits, settings.requestClasses},
+                       routingState);
+}
+
+std::optional<pubsub::PubsubService::Endpoint> pubsubEndpointOf(const config::OperatorConfig& config) {
+    if (!config.pubsub) return {};
+    return pubsub::PubsubService::Endpoint{config.pubsub->listen, config.pubsub->maxSubscribers};
+}
+
+/// Calls `handler` for each of the signals, for as long as the loop runs.
+void handleSignals(asio::signal_set& signals, const std::function<void()>& handler) {
+    signals.async_wait([&signals, handler](const boost::system::error_code& error, int) {
+        if (error) return;
+        handleSignals(signals, handler);
+        handler();
+    });
+}
+
+} // namespace
+
+void configureLog(const config::LogConfig& config) {
+    log::start(config.json ? log::Format::Json : log::Format::Text, config.minLevel);
+}
+
+Daemon::Daemon(DaemonConfig config)
+    : config_(std::move(config)), listenAddress_(requireAddress("listen", config_.startFile.listen)),
+      discoveryAddress_(requireAddress("discovery", config_.startFile.discovery)),
+      budget_(resourceBudgetOf(config_)), lineBlocks_(budget_.lineBlocks), pushBlocks_(budget_.pushBlocks),
+      io_(1), terminationSignals_(io_, SIGTERM, SIGINT), statisticsSignals_(io_, SIGUSR1),
+      reloadSignals_(io_, SIGHUP), names_(config_.settings.requestClassNames, config_.settings.zoneNames),
+      routingState_(
+          names_, counters_, [this](EndpointId endpoint) { prober_.probe(endpoint); },
+          [this](Micros delay) { batchRunner_.scheduleWakeUp(delay); }, config_.settings.controlChannel),
+      updateQueue_(routingState_, names_, counters_), planner_(makePlannerOf(config_, routingState_)),
+      batchRunner_(io_, *planner_, routingState_, counters_, config_.settings.tick),
+      inputTranslator_(batchRunner_, updateQueue_, names_, counters_, config_.settings.proxies.proxyCount),
+      prober_(io_, names_, inputTranslator_, counters_, lineBlocks_, budget_.probes,
+              config_.settings.connectTimeout, !config_.settings.reportColumns.empty()),
+      sessionAcceptor_(inputTranslator_, counters_, lineBlocks_),
+      listener_(std::make_shared<net::Listener>(
+          io_, listenAddress_, budget_.peers, net::SessionAcceptor::kQueueBytesMost, counters_, lineBlocks_,
+          pushBlocks_, [this](net::Connection& connection) { return sessionAcceptor_.accept(connection); })),
+      discoveryWatch_(
+          config_.startFile.discovery,
+          [this](EndpointListUpdate update, const json::Value& members) {
+              return applyEndpointList(update, members);
+          },
+          counters_, budget_.listBytes),
+      discoveryDriver_(io_, discoveryAddress_, discoveryWatch_, lineBlocks_),
+      pubsubConfig_(config_.operatorConfig.pubsub.value_or(config::PubsubConfig{})),
+      pubsubService_(
+          io_, counters_, pushBlocks_, [this] { return makeSubscriptionServer(); },
+          pubsubConfig_.heartbeatInterval),
+      readinessTimer_(io_), startFileReloader_(io_, counters_, "start file", [this] { reloadStartFile(); }),
+      operatorConfigReloader_(io_, counters_, "operator's file", [this] { reloadOperatorConfig(); }) {}
+
+int Daemon::run(SignalMask& signals) {
+    pubsubService_.configure(pubsubEndpointOf(config_.operatorConfig));
+    loadCachedEndpoints();
+    startNetwork();
+    startReadinessTimer();
+    installSignalHandlers();
+    signals.unblock();
+    logListening();
+    int exitCode = 0;
+    try {
+        io_.run();
+    } catch (const std::exception& error) {
+        log::critical("ended_by_failure", {{"what", error.what()}});
+        exitCode = 1;
+    }
+    signals.block(); // the loop has ended: no handler can run any more
+    logCounters();
+    if (exitCode == 0) log::info("ended_on_signal");
+    return exitCode;
+}
+
+/// False where the list can't be used. With the first usable one the planner is ready to serve.
+bool Daemon::applyEndpointList(EndpointListUpdate update, const json::Value& members) {
+    const bool usable = inputTranslator_.updateEndpoints(update, members);
+    if (usable) sessionAcceptor_.startServing();
+    return usable;
+}
+
+std::unique_ptr<pubsub::SubscriptionServer> Daemon::makeSubscriptionServer() {
+    const pubsub::Epoch epoch{static_cast<std::uint64_t>(batchRunner_.now().count())};
+    const pubsub::FlowControlLimits flowControl{pubsubConfig_.windowLines, pubsubConfig_.windowBytes,
+                                                config_.settings.controlChannel.maxQueuedLines,
+                                                pubsubConfig_.memoryBytes};
+    const pubsub::LeaseConfig leases{.heartbeatInterval = pubsubConfig_.heartbeatInterval,
+                                     .leaseDuration = pubsubConfig_.leaseDuration,
+                                     .stallTimeout = pubsubConfig_.stallTimeout,
+                                     .reconnectsPerSecond = pubsubConfig_.reconnectsPerSecond};
+    const pubsub::ServerConfig serverConfig{.plannerName = config_.startFile.name,
+                                            .epoch = epoch,
+                                            .proxyCount = config_.settings.proxies.proxyCount,
+                                            .flowControl = flowControl,
+                                            .leases = leases,
+                                            .maxTombstones = pubsubConfig_.maxTombstones};
+    return std::make_unique<pubsub::SubscriptionServer>(
+        routingState_, names_, counters_, serverConfig,
+        [this]() -> Planner& { return batchRunner_.openBatch(); }, [this] { return batchRunner_.now(); });
+}
+
+void Daemon::loadCachedEndpoints() {
+    const auto& members = json::member(config_.startFile.cachedEndpoints, "members");
+    if (members.is_array()) inputTranslator_.updateEndpoints(EndpointListUpdate::Cached, members);
+}
+
+void Daemon::startNetwork() {
+    listener_->start();
+    discoveryDriver_.start();
+}
+
+/// Without an answer of discovery the planner becomes ready with the cached list.
+void Daemon::startReadinessTimer() {
+    readinessTimer_.expires_after(kDiscoveryGracePeriod);
+    readinessTimer_.async_wait([this](const boost::system::error_code& error) {
+        if (!error) sessionAcceptor_.startServing();
+    });
+}
+
+void Daemon::installSignalHandlers() {
+    handleSignals(terminationSignals_, [this] { io_.stop(); });
+    handleSignals(statisticsSignals_, [this] { logCounters(); });
+    handleSignals(reloadSignals_, [this] {
+        startFileReloader_.request();
+        if (!config_.operatorFile.empty()) operatorConfigReloader_.request();
+    });
+}
+
+/// Only the address of discovery can change while the planner runs.
+void Daemon::reloadStartFile() {
+    const config::StartFile reloaded = config::reloadStartFile();
+    discoveryDriver_.move(requireAddress("discovery", reloaded.discovery), reloaded.discovery);
+    log::info("reload", {{"discovery", reloaded.discovery}});
+}
+
+/// The file is used as a whole or not at all: whatever can fail comes before the first change.
+void Daemon::reloadOperatorConfig() {
+    const config::OperatorConfig reloaded = config::loadOperatorConfig(config_.operatorFile);
+    // A service that was off at the start has no share in the budget: its descriptors come on top.
+    if (reloaded.pubsub && !config_.operatorConfig.pubsub)
+        descriptorsBesidePubsub(config_.startFile.maxDescriptors, reloaded.pubsub);
+    pubsubService_.configure(pubsubEndpointOf(reloaded));
+    configureLog(reloaded.log);
+    const std::string channel = reloaded.pubsub ? reloaded.pubsub->listen : "off";
+    log::info("reload", {{"operator", config_.operatorFile}, {"channel", channel}});
+}
+
+void Daemon::logListening() const {
+    log::info("listening", {{"planner", config_.startFile.name},
+                            {"address", net::textOf(listener_->address())},
+                            {"products", config_.settings.requestClasses.size()},
+                            {"zones", config_.settings.zoneNames.size()},
+                            {"proxies", config_.settings.proxies.proxyCount},
+                            {"room_for_peers", budget_.peers},
+                            {"probes_at_once", budget_.probes}});
+}
+
+void Daemon::logCounters() const {
+    std::vector<log::Field> fields;
+    for (const auto& [name, count] : counters_.all()) fields.emplace_back(name, count);
+    log::info("counters", fields);
+}
+
+} // namespace zincstack::command
--- a/src/command/run.h
+++ b/src/command/run.h
@@ -1,12 +1,13 @@
-// `zincstack run`: one planner on sockets. Wiring, signals and reload.
+// `zincstack run`: loads the configuration and runs one planner process.
 #pragma once
 
 #include "command/command_line.h"
-#include "command/held_signals.h"
+#include "command/signal_mask.h"
 
 namespace zincstack::command {
 
-/// Serves until a signal; the exit code. The signals are let in once they are handled, and held again at the end.
-int run(const Run& order, HeldSignals& held);
+/// Serves until SIGTERM or SIGINT; the exit code. `signals` are unblocked once their handlers are installed and
+/// blocked again when the event loop has ended.
+int run(const RunOptions& options, SignalMask& signals);
 
 } // namespace zincstack::command
--- a/src/command/standin.cpp
+++ b/src/command/standin.cpp
@@ -4,9 +4,10 @@
 #include <boost/asio/signal_set.hpp>
 #include <boost/asio/steady_timer.hpp>
 
-#include <cstdio>
+#include <chrono>
+#include <csignal>
 #include <filesystem>
-#include <functional>
+#include <utility>
 
 #include "config/operator_config.h"
 #include "log/log.h"
@@ -18,57 +19,86 @@
 namespace {
 
 namespace asio = boost::asio;
-constexpr auto kLook = std::chrono::milliseconds(200); // how often the file is looked at
 
-std::filesystem::file_time_type changedAt(const std::string& file) {
+constexpr auto kFileCheckInterval = std::chrono::milliseconds(200); // soon enough for a person who edits it
+
+std::filesystem::file_time_type modificationTime(const std::string& file) {
     std::error_code ignored;
     return std::filesystem::last_write_time(file, ignored);
 }
-json::Value membersOf(const std::string& file) {
+
+json::Value readMembers(const std::string& file) {
     try {
         return json::member(json::read(config::readFile(file)), "members");
-    } catch (const InputError& error) {
-        const std::string what = error.what();
-        throw InputError(what.starts_with(file) ? what : file + ": " + what);
-    }
+    } catch (const InputError& error) { throw error.withDocument(file); }
 }
 
-} // namespace
+asio::ip::tcp::endpoint requireListenAddress(const std::string& text) {
+    const auto address = net::parseAddress(text);
+    if (!address) throw InputError("standin: no address: '" + text + "'");
+    return *address;
+}
 
-int standin(const Standin& order) {
-    const auto at = net::parseAddress(order.listen);
-    if (!at) throw InputError("standin: no address: '" + order.listen + "'");
-    log::start(log::Format::Text, log::Level::Info);
-    standin::ListAgent agent;
-    agent.set(membersOf(order.file));
-    auto read = changedAt(order.file);
-    asio::io_context io(1);
-    asio::signal_set end(io, SIGTERM, SIGINT);
-    end.async_wait([&](const boost::system::error_code& error, int) {
-        if (!error) io.stop();
-    });
-    standin::AgentDriver driver(io, *at, agent);
-    driver.start();
-    log::info("standin_discovery",
-              {{"address", net::textOf(driver.address())}, {"revision", agent.revision()}});
-    asio::steady_timer timer(io);
-    std::function<void()> look = [&] {
-        timer.expires_after(kLook);
-        timer.async_wait([&](const boost::system::error_code& error) {
+/// Serves the list of a file and looks from time to time whether the file has changed.
+class FileDiscovery {
+public:
+    FileDiscovery(std::string file, const asio::ip::tcp::endpoint& listen)
+        : file_(std::move(file)), listen_(listen), modifiedAt_(loadInitialList()) {}
+
+    void run() {
+        terminationSignals_.async_wait([this](const boost::system::error_code& error, int) {
+            if (!error) io_.stop();
+        });
+        standin::AgentDriver driver(io_, listen_, agent_);
+        driver.start();
+        log::info("standin_discovery",
+                  {{"address", net::textOf(driver.address())}, {"revision", agent_.revision()}});
+        scheduleFileCheck(driver);
+        io_.run();
+    }
+
+private:
+    /// Before the signals are handled: until then they end the process at once.
+    std::filesystem::file_time_type loadInitialList() {
+        agent_.set(readMembers(file_));
+        return modificationTime(file_);
+    }
+
+    void scheduleFileCheck(standin::AgentDriver& driver) {
+        fileCheckTimer_.expires_after(kFileCheckInterval);
+        fileCheckTimer_.async_wait([this, &driver](const boost::system::error_code& error) {
             if (error) return;
-            if (const auto now = changedAt(order.file); now != read) {
-                read = now;
-                try {
-                    agent.set(membersOf(order.file));
-                    log::info("list", {{"revision", agent.revision()}});
-                    driver.notifyWatches();
-                } catch (const InputError& fault) { log::warn("list_unusable", {{"what", fault.what()}}); }
-            }
-            look();
+            reloadIfModified(driver);
+            scheduleFileCheck(driver);
         });
-    };
-    look();
-    io.run();
+    }
+
+    void reloadIfModified(standin::AgentDriver& driver) {
+        const auto modifiedAt = modificationTime(file_);
+        if (modifiedAt == modifiedAt_) return;
+        modifiedAt_ = modifiedAt;
+        try {
+            agent_.set(readMembers(file_));
+            log::info("list", {{"revision", agent_.revision()}});
+            driver.notifyWatches();
+        } catch (const InputError& error) { log::warn("list_unusable", {{"what", error.what()}}); }
+    }
+
+    const std::string file_;
+    const asio::ip::tcp::endpoint listen_;
+    standin::ListAgent agent_;
+    std::filesystem::file_time_type modifiedAt_;
+    asio::io_context io_{1};
+    asio::signal_set terminationSignals_{io_, SIGTERM, SIGINT};
+    asio::steady_timer fileCheckTimer_{io_};
+};
+
+} // namespace
+
+int standin(const StandinOptions& options) {
+    const auto listen = requireListenAddress(options.listen);
+    log::start(log::Format::Text, log::Level::Info);
+    FileDiscovery(options.file, listen).run();
     return 0;
 }
 
--- a/src/command/subscribe.cpp
+++ b/src/command/subscribe.cpp
@@ -126,7 +126,7 @@
 
 } // namespace
 
-int subscribe(const Subscribe& order) {
+int subscribe(const SubscribeOptions& order) {
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     std::shared_ptr<client::SubscriptionClient> subscriber;
--- a/src/command/subscribe.h
+++ b/src/command/subscribe.h
@@ -1,11 +1,12 @@
-// `zincstack subscribe`: a zone's tables as they change, for people or for programs.
+// `zincstack subscribe`: prints a zone's tables as they change, for people or for programs.
 #pragma once
 
 #include "command/command_line.h"
 
 namespace zincstack::command {
 
-/// Runs until a signal or so many changes; the exit code, 2 if a planner refuses it for good. Throws InputError where an address can't be read.
-int subscribe(const Subscribe& order);
+/// Runs until a signal or until so many changes were printed. The exit code: 2 if a planner refuses the subscription
+/// for good. Throws InputError where an address can't be read.
+int subscribe(const SubscribeOptions& options);
 
 } // namespace zincstack::command
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -4,6 +4,8 @@
 #include <cmath>
 #include <fstream>
 #include <iterator>
+#include <type_traits>
+#include <utility>
 
 #include "config/schemas.h"
 #include "net/address.h"
@@ -12,87 +14,110 @@
 
 namespace {
 
-constexpr std::size_t kFileBytesMost = 16 * 1024 * 1024;
-
-std::vector<json::Fault> faultsOfTree(const json::Value& all) {
-    auto out = json::faultsOf(all, kOperatorSchema);
-    if (!out.empty()) return out;
-    const json::Value& channel = json::member(all, "channel"); // what a schema can't say
-    if (const auto* listen = json::textOf(channel, "listen"); listen && !net::parseAddress(*listen))
-        out.push_back({"/channel/listen", "no address: '" + *listen + "'"});
-    const json::Value &beat = json::member(channel, "beat_s"), &lease = json::member(channel, "lease_s");
-    const PubsubConfig usual;
-    const auto secondsOf = [](const json::Value& value, Micros absent) {
-        return value.is_number() ? value.get<double>() : static_cast<double>(absent.count()) / 1e6;
-    };
-    if (secondsOf(lease, usual.leaseDuration) < 2 * secondsOf(beat, usual.heartbeatInterval))
-        out.push_back({"/channel/lease_s", "a lease shorter than two beats"});
-    return out;
+constexpr std::size_t kMaxFileBytes = 16 * 1024 * 1024; // the largest endpoint lists have some megabytes
+constexpr double kMicrosPerSecond = 1e6;
+constexpr double kMinHeartbeatsPerLease = 2; // one lost heartbeat may not end a lease
+
+double secondsOr(Micros absent, const json::Value& value) {
+    return value.is_number() ? value.get<double>() : static_cast<double>(absent.count()) / kMicrosPerSecond;
+}
+
+/// What the schema can't express. The tree already conforms to it.
+std::vector<json::ValidationError> findPubsubErrors(const json::Value& pubsub) {
+    std::vector<json::ValidationError> errors;
+    const auto* listen = json::textOf(pubsub, "listen");
+    if (listen && !net::parseAddress(*listen))
+        errors.push_back({"/channel/listen", "no address: '" + *listen + "'"});
+    const PubsubConfig defaults;
+    const double heartbeatInterval = secondsOr(defaults.heartbeatInterval, json::member(pubsub, "beat_s"));
+    const double leaseDuration = secondsOr(defaults.leaseDuration, json::member(pubsub, "lease_s"));
+    if (leaseDuration < kMinHeartbeatsPerLease * heartbeatInterval)
+        errors.push_back({"/channel/lease_s", "a lease shorter than two beats"});
+    return errors;
 }
 
+std::vector<json::ValidationError> findErrors(const json::Value& root) {
+    auto errors = json::validate(root, kOperatorSchema);
+    if (!errors.empty()) return errors;
+    return findPubsubErrors(json::member(root, "channel"));
+}
+
+/// Sets the field from a member of the object; an absent member leaves it as it is. Durations are in seconds.
 template <class T>
-void take(const json::Value& from, const char* name, T& into) {
-    const json::Value& value = json::member(from, name);
+void readMember(const json::Value& object, const char* name, T& field) {
+    const json::Value& value = json::member(object, name);
     if (value.is_null()) return;
     if constexpr (std::is_same_v<T, Micros>)
-        into = Micros(std::llround(value.get<double>() * 1e6));
+        field = Micros(std::llround(value.get<double>() * kMicrosPerSecond));
     else
-        into = value.get<T>();
+        field = value.get<T>();
+}
+
+LogConfig readLog(const json::Value& object) {
+    static constexpr std::array<std::pair<std::string_view, log::Level>, 4> kLevels{
+        {{"debug", log::Level::Debug},
+         {"info", log::Level::Info},
+         {"warn", log::Level::Warn},
+         {"critical", log::Level::Critical}}};
+    LogConfig config;
+    if (const auto* format = json::textOf(object, "format")) config.json = *format == "json";
+    if (const auto* level = json::textOf(object, "level"))
+        for (const auto& [name, value] : kLevels)
+            if (name == *level) config.minLevel = value;
+    return config;
+}
+
+PubsubConfig readPubsub(const json::Value& object) {
+    PubsubConfig config;
+    readMember(object, "listen", config.listen);
+    readMember(object, "subscribers", config.maxSubscribers);
+    readMember(object, "window_lines", config.windowLines);
+    readMember(object, "window_bytes", config.windowBytes);
+    readMember(object, "memory_bytes", config.memoryBytes);
+    readMember(object, "remembered", config.maxTombstones);
+    readMember(object, "beat_s", config.heartbeatInterval);
+    readMember(object, "lease_s", config.leaseDuration);
+    readMember(object, "stall_s", config.stallTimeout);
+    readMember(object, "back_per_second", config.reconnectsPerSecond);
+    return config;
 }
 
 } // namespace
 
 std::string readFile(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
-    if (!file) throw InputError(path + ": can't be read");
+    if (!file) throw InputError::inDocument(path, "can't be read");
     try {
-        std::string out{std::istreambuf_iterator<char>(file), {}};
-        if (out.size() <= kFileBytesMost) return out;
-    } catch (const std::ios_base::failure&) { throw InputError(path + ": can't be read"); } // a folder, say
-    throw InputError(path + ": too large");
+        std::string bytes{std::istreambuf_iterator<char>(file), {}};
+        if (bytes.size() <= kMaxFileBytes) return bytes;
+    } catch (const std::ios_base::failure&) { // a folder, for example
+        throw InputError::inDocument(path, "can't be read");
+    }
+    throw InputError::inDocument(path, "too large");
 }
 
-std::vector<json::Fault> findOperatorConfigErrors(std::string_view text) {
+std::vector<json::ValidationError> findOperatorConfigErrors(std::string_view text) {
     try {
-        return faultsOfTree(json::read(text));
+        return findErrors(json::read(text));
     } catch (const InputError& error) { return {{"", error.what()}}; }
 }
 
 OperatorConfig readOperatorConfig(std::string_view text) {
-    const json::Value all = json::read(text);
-    const auto faults = faultsOfTree(all);
-    if (!faults.empty()) throw InputError(faults[0].pointer + ": " + faults[0].what);
-    OperatorConfig out;
-    const json::Value& log = json::member(all, "log");
-    static constexpr std::array<std::string_view, 4> kLevels{"debug", "info", "warn", "critical"};
-    if (const auto* format = json::textOf(log, "format")) out.log.json = *format == "json";
-    if (const auto* level = json::textOf(log, "level"))
-        for (std::uint8_t k = 0; k < kLevels.size(); ++k)
-            if (kLevels[k] == *level) out.log.least = k;
-    if (const json::Value& channel = json::member(all, "channel"); channel.is_object()) {
-        PubsubConfig& into = out.channel.emplace();
-        take(channel, "listen", into.listen);
-        take(channel, "subscribers", into.subscribers);
-        take(channel, "window_lines", into.windowLines);
-        take(channel, "window_bytes", into.windowBytes);
-        take(channel, "memory_bytes", into.memoryBytes);
-        take(channel, "remembered", into.maxTombstones);
-        take(channel, "beat_s", into.heartbeatInterval);
-        take(channel, "lease_s", into.leaseDuration);
-        take(channel, "stall_s", into.stallTimeout);
-        take(channel, "back_per_second", into.reconnectsPerSecond);
-    }
-    return out;
+    const json::Value root = json::read(text);
+    const auto errors = findErrors(root);
+    if (!errors.empty()) throw InputError::atField(errors.front().pointer, errors.front().message);
+    OperatorConfig config;
+    config.log = readLog(json::member(root, "log"));
+    const json::Value& pubsub = json::member(root, "channel");
+    if (pubsub.is_object()) config.pubsub = readPubsub(pubsub);
+    return config;
 }
 
 OperatorConfig loadOperatorConfig(const std::string& path) {
     if (path.empty()) return {};
     try {
         return readOperatorConfig(readFile(path));
-    } catch (const InputError& error) {
-        const std::string what = error.what();
-        throw InputError(what.starts_with(path) ? what : path + ": " + what);
-    }
+    } catch (const InputError& error) { throw error.withDocument(path); }
 }
 
 } // namespace zincstack::config
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -1,6 +1,7 @@
-// The operator's file: what is switched on beside what the platform posts. Absent parts are off.
+// The operator's file: what is switched on beside what the platform prescribes. Absent parts are off.
 #pragma once
 
+#include <chrono>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -8,6 +9,7 @@
 #include <vector>
 
 #include "errors/input_error.h"
+#include "log/log.h"
 #include "planner/planner.h"
 #include "json/schema.h"
 
@@ -15,31 +17,37 @@
 
 struct LogConfig {
     bool json = false;
-    std::uint8_t least = 1; ///< 0 debug, 1 info, 2 warn, 3 critical
+    log::Level minLevel = log::Level::Info;
     friend bool operator==(const LogConfig&, const LogConfig&) = default;
 };
+
+/// The pub-sub channel to proxies that hold a subscription.
 struct PubsubConfig {
-    std::string listen;
-    std::uint32_t subscribers = 1000;
-    std::size_t windowLines = 1024, windowBytes = 32 * 1024, memoryBytes = 16 * 1024 * 1024;
-    std::size_t maxTombstones = 4096;
-    Micros heartbeatInterval = std::chrono::seconds(1), leaseDuration = std::chrono::seconds(5),
-           stallTimeout = std::chrono::seconds(20);
+    std::string listen; ///< address and port
+    std::uint32_t maxSubscribers = 1000;
+    std::size_t windowLines = 1024;             ///< unacknowledged by one subscriber
+    std::size_t windowBytes = 32 * 1024;        ///< unacknowledged by one subscriber
+    std::size_t memoryBytes = 16 * 1024 * 1024; ///< for all subscribers together
+    std::size_t maxTombstones = 4096;           ///< removed entries that are remembered
+    Micros heartbeatInterval = std::chrono::seconds(1);
+    Micros leaseDuration = std::chrono::seconds(5);
+    Micros stallTimeout = std::chrono::seconds(20);
     std::uint32_t reconnectsPerSecond = 200;
     friend bool operator==(const PubsubConfig&, const PubsubConfig&) = default;
 };
+
 struct OperatorConfig {
     LogConfig log;
-    std::optional<PubsubConfig> channel;
+    std::optional<PubsubConfig> pubsub; ///< none: the service is off
 };
 
-/// Every fault of the text, by its place; none: it can be used.
-std::vector<json::Fault> findOperatorConfigErrors(std::string_view text);
-/// Throws InputError, naming the first fault and its place.
+/// All errors of the text, sorted by place; empty if it can be used.
+std::vector<json::ValidationError> findOperatorConfigErrors(std::string_view text);
+/// Throws InputError with the first error and its place.
 OperatorConfig readOperatorConfig(std::string_view text);
-/// Reads the file; no path: everything is off. Throws InputError, naming the file.
+/// Reads the file; everything is off where the path is empty. Throws InputError, naming the file.
 OperatorConfig loadOperatorConfig(const std::string& path);
-/// The bytes of a file. Throws InputError where it can't be read, or is larger than any such file.
+/// The bytes of a file. Throws InputError where it can't be read or is larger than any configuration file.
 std::string readFile(const std::string& path);
 
 } // namespace zincstack::config
--- a/src/config/start_file.cpp
+++ b/src/config/start_file.cpp
@@ -5,100 +5,123 @@
 #include <cstdlib>
 #include <fstream>
 #include <iterator>
+#include <limits>
 
-namespace zincstack::net {
+namespace zincstack::config {
 
 namespace {
 
-std::string plainWord(std::string text) {
-    std::ranges::replace_if(text, [](char one) { return one == ' ' || one == ',' || one == '\n'; }, '_');
-    return text;
+constexpr int kSeedBase = 16;
+
+InputError startFileError(const std::string& field, const std::string& fault) {
+    return InputError::inDocument("configuration", "the field " + field + " is " + fault, field);
+}
+
+InputError environmentError(const std::string& reason) {
+    return InputError::inDocument("environment", reason, "PROXY_CONFIG");
 }
 
-const std::string& required(const json::Value& from, const char* name) {
-    const auto* text = json::textOf(from, name);
-    if (!text || text->empty())
-        throw InputError("configuration: the field " + std::string(name) + " is missing or no text");
+const std::string& requireText(const json::Value& object, const char* name) {
+    const auto* text = json::textOf(object, name);
+    if (!text || text->empty()) throw startFileError(name, "missing or no text");
     return *text;
 }
-/// A limit, or `absent` where it is not told.
+
 std::uint32_t limitOr(std::uint32_t absent, const json::Value& limits, const char* name) {
     const json::Value& value = json::member(limits, name);
     if (value.is_null()) return absent;
-    if (!value.is_number_unsigned() || value.get<std::uint64_t>() > UINT32_MAX)
-        throw InputError("configuration: the field limits." + std::string(name) + " is no whole number: '" +
-                         value.dump() + "'");
+    if (!value.is_number_unsigned() || value.get<std::uint64_t>() > std::numeric_limits<std::uint32_t>::max())
+        throw startFileError("limits." + std::string(name), "no whole number: '" + value.dump() + "'");
     return value.get<std::uint32_t>();
 }
-/// As the simulator's start text would have it.
-std::string wordOf(const json::Value& value) {
-    const auto* text = value.get_ptr<const std::string*>();
-    return plainWord(text ? *text : value.dump());
+
+std::uint64_t parseSeed(const std::string& text) {
+    std::uint64_t seed = 0;
+    const char* const textEnd = text.data() + text.size();
+    const auto [end, error] = std::from_chars(text.data(), textEnd, seed, kSeedBase);
+    if (error != std::errc{} || end != textEnd)
+        throw startFileError("seed", "no whole number: '" + text + "'");
+    return seed;
+}
+
+/// A scalar as the simulator's start text has it: without the characters that separate there.
+std::string scalarText(const json::Value& value) {
+    const auto* string = value.get_ptr<const std::string*>();
+    std::string text = string ? *string : value.dump();
+    std::ranges::replace_if(
+        text, [](char character) { return character == ' ' || character == ',' || character == '\n'; }, '_');
+    return text;
+}
+
+std::string joinScalars(const json::Value& array) {
+    std::string joined;
+    for (const auto& item : array) {
+        const bool isFirst = &item == &array.front();
+        if (!isFirst) joined += ",";
+        joined += scalarText(item);
+    }
+    return joined;
 }
 
-std::uint64_t seedOf(const std::string& text) {
-    std::uint64_t out = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, 16);
-    if (error != std::errc{} || end != text.data() + text.size())
-        throw InputError("configuration: the field seed is no whole number: '" + text + "'");
-    return out;
+std::string childPath(const std::string& path, const std::string& name) {
+    return path.empty() ? name : path + "." + name;
 }
 
 } // namespace
 
-void flatten(const json::Value& value, const std::string& path, config::FlatSettings& into) {
-    const auto below = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
+void flatten(const json::Value& value, const std::string& path, FlatSettings& settings) {
     if (value.is_null()) return;
     if (value.is_object()) {
-        for (const auto& [name, item] : value.items()) flatten(item, below(name), into);
+        for (const auto& [name, item] : value.items()) flatten(item, childPath(path, name), settings);
     } else if (!value.is_array()) {
-        into[path] = wordOf(value);
-    } else if (std::ranges::any_of(value, [](const auto& one) { return one.is_structured(); })) {
-        for (std::size_t k = 0; k < value.size(); ++k) flatten(value[k], below(std::to_string(k)), into);
-        into[below("count")] = std::to_string(value.size());
+        settings[path] = scalarText(value);
+    } else if (std::ranges::any_of(value, [](const auto& item) { return item.is_structured(); })) {
+        for (std::size_t index = 0; index < value.size(); ++index)
+            flatten(value[index], childPath(path, std::to_string(index)), settings);
+        settings[childPath(path, "count")] = std::to_string(value.size());
     } else {
-        std::string joined;
-        for (const auto& item : value)
-            joined.append(joined.empty() && &item == &value.front() ? "" : ",") += wordOf(item);
-        into[path] = joined;
+        settings[path] = joinScalars(value);
     }
 }
 
-StartFile readStartFile(std::string_view text) {
-    const json::Value all = json::read(text);
-    StartFile out;
-    out.name = required(all, "name");
-    out.listen = required(all, "listen");
-    out.discovery = required(all, "discovery");
-    out.seed = seedOf(required(all, "seed"));
-    const json::Value& limits = json::member(all, "limits");
-    out.sockets = limitOr(out.sockets, limits, "sockets");
-    out.memoryMb = limitOr(out.memoryMb, limits, "memory_mb");
-    out.known = json::member(all, "known");
-    const json::Value& terms = json::member(all, "settings");
-    if (!terms.is_object()) throw InputError("configuration: the field settings is missing or no object");
-    flatten(terms, "", out.flat);
-    return out;
+StartFile parseStartFile(std::string_view text) {
+    const json::Value root = json::read(text);
+    StartFile file;
+    file.name = requireText(root, "name");
+    file.listen = requireText(root, "listen");
+    file.discovery = requireText(root, "discovery");
+    file.seed = parseSeed(requireText(root, "seed"));
+    const json::Value& limits = json::member(root, "limits");
+    file.maxDescriptors = limitOr(file.maxDescriptors, limits, "sockets");
+    file.memoryMegabytes = limitOr(file.memoryMegabytes, limits, "memory_mb");
+    file.cachedEndpoints = json::member(root, "known");
+    const json::Value& settings = json::member(root, "settings");
+    if (!settings.is_object()) throw startFileError("settings", "missing or no object");
+    flatten(settings, "", file.settings);
+    return file;
 }
 
 StartFile reloadStartFile() {
     const char* path = std::getenv("PROXY_CONFIG");
-    if (!path || !*path) throw InputError("environment: PROXY_CONFIG is not set");
+    if (!path || !*path) throw environmentError("PROXY_CONFIG is not set");
     std::ifstream file(path, std::ios::binary);
     if (!file)
-        throw InputError("environment: PROXY_CONFIG names a file that can't be read: '" + std::string(path) +
-                         "'");
+        throw environmentError("PROXY_CONFIG names a file that can't be read: '" + std::string(path) + "'");
     const std::string text{std::istreambuf_iterator<char>(file), {}};
-    return readStartFile(text);
+    return parseStartFile(text);
 }
 
 StartFile loadStartFile() {
-    StartFile out = reloadStartFile();
-    const std::pair<const char*, std::string&> overriding[] = {
-        {"PROXY_NAME", out.name}, {"PROXY_LISTEN", out.listen}, {"PROXY_DISCOVERY", out.discovery}};
-    for (const auto& [variable, field] : overriding)
+    struct Override {
+        const char* variable;
+        std::string& field;
+    };
+    StartFile file = reloadStartFile();
+    const Override overrides[] = {
+        {"PROXY_NAME", file.name}, {"PROXY_LISTEN", file.listen}, {"PROXY_DISCOVERY", file.discovery}};
+    for (const auto& [variable, field] : overrides)
         if (const char* value = std::getenv(variable); value && *value) field = value;
-    return out;
+    return file;
 }
 
-} // namespace zincstack::net
+} // namespace zincstack::config
--- a/src/config/start_file.h
+++ b/src/config/start_file.h
@@ -1,5 +1,5 @@
-// What a planner is told where it is put up: its name and addresses, the seed, limits, the list as last had,
-// and the start terms as flat pairs.
+// The start file: the name, addresses, seed and limits of one planner, the endpoint list that it knew last, and its
+// settings.
 #pragma once
 
 #include <cstdint>
@@ -9,28 +9,28 @@
 #include "config/start_settings.h"
 #include "json/json.h"
 
-namespace zincstack::net {
+namespace zincstack::config {
 
 struct StartFile {
     std::string name;
-    std::string listen;
-    std::string discovery;
+    std::string listen;    ///< address and port
+    std::string discovery; ///< address and port
     std::uint64_t seed = 0;
-    std::uint32_t sockets = 1024;
-    std::uint32_t memoryMb = 192;
-    json::Value known; ///< in discovery's form; null where there is none
-    config::FlatSettings flat;
+    std::uint32_t maxDescriptors = 1024;
+    std::uint32_t memoryMegabytes = 192;
+    json::Value cachedEndpoints; ///< in discovery's form; null where there is none
+    FlatSettings settings;
 };
 
-/// Nested values as path=value pairs, in the form of the simulator's start text.
-void flatten(const json::Value& value, const std::string& path, config::FlatSettings& into);
+/// Adds the scalars below a JSON value to `settings`, as path=value pairs in the form of the simulator's start text.
+void flatten(const json::Value& value, const std::string& path, FlatSettings& settings);
 
 /// Throws InputError, naming the field.
-StartFile readStartFile(std::string_view text);
+StartFile parseStartFile(std::string_view text);
 
-/// Reads the file that the environment names; name and addresses of the environment go before the file's.
+/// Reads the file that PROXY_CONFIG names; PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY override its fields.
 StartFile loadStartFile();
-/// Reads that file again: what the environment says is as old as the start, so the file's fields go first.
+/// Reads that file again, without the overrides: they are as old as the process.
 StartFile reloadStartFile();
 
-} // namespace zincstack::net
+} // namespace zincstack::config
--- a/src/config/start_settings.cpp
+++ b/src/config/start_settings.cpp
@@ -1,165 +1,140 @@
 #include "config/start_settings.h"
 
-#include <charconv>
-#include <cmath>
+#include <algorithm>
+#include <optional>
+#include <utility>
 
 namespace zincstack::config {
 
 namespace {
 
-class Terms {
-public:
-    explicit Terms(const FlatSettings& values) : values_(values) {}
-    const std::string* find(const std::string& path) const {
-        const auto at = values_.find(path);
-        return at == values_.end() ? nullptr : &at->second;
-    }
-    const std::string& word(const std::string& path) const {
-        const auto* value = find(path);
-        if (!value) throw InputError("start terms: the required term " + path + " is missing");
-        return *value;
-    }
-    double number(const std::string& path) const { return parse(path, word(path)); }
-    double numberOr(const std::string& path, double absent) const {
-        const auto* value = find(path);
-        return value ? parse(path, *value) : absent;
-    }
-    Micros time(const std::string& path) const { return Micros(std::llround(number(path) * 1e6)); }
-    Micros timeOrZero(const std::string& path) const { return Micros(std::llround(numberOr(path, 0) * 1e6)); }
-    std::uint32_t count(const std::string& path, double most) const {
-        const double value = number(path);
-        if (value > most || value != std::floor(value))
-            throw InputError("start terms: " + path + " is no count up to " + std::to_string(most));
-        return static_cast<std::uint32_t>(value);
-    }
-    bool flagOrFalse(const std::string& path) const {
-        const auto* value = find(path);
-        return value && flag(path, *value);
-    }
-    static bool flag(const std::string& path, std::string_view value) {
-        if (value != "true" && value != "false")
-            throw InputError("start terms: " + path + " is neither true nor false: '" + std::string(value) +
-                             "'");
-        return value == "true";
-    }
+constexpr std::size_t kMaxZones = 255; // what FleetConfig::zoneCount holds
+constexpr double kMaxPlanners = 1e6;
+constexpr double kMaxProxies = 65536;     // what ProxyId holds
+constexpr double kMaxRequestClasses = 16; // what RequestClassSet holds
+constexpr std::size_t kMaxQuotedLine = 60;
+
+FleetConfig readFleet(const SettingsReader& reader, std::size_t zones) {
+    FleetConfig fleet;
+    fleet.zoneCount = static_cast<std::uint8_t>(std::min(zones, kMaxZones));
+    fleet.plannerCount = reader.count("Balancers", kMaxPlanners);
+    fleet.hasEndpointWeights = reader.text("WeightKind") != "none";
+    fleet.mustSubscribeToEndpoints = reader.text("Discovery") == "subscribe";
+    fleet.probingAllowed = reader.flagOrFalse("Allowed.MayProbe");
+    fleet.reportInterval = reader.durationOrZero("Extra.PeriodS");
+    fleet.sharded = reader.numberOrZero("Extra.Ranges") > 0;
+    return fleet;
+}
 
-private:
-    static double parse(const std::string& path, const std::string& value) {
-        double out = 0;
-        const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), out);
-        if (error != std::errc{} || end != value.data() + value.size() || !std::isfinite(out) || out < 0 ||
-            out > 1e12)
-            throw InputError("start terms: " + path + " is no usable number: '" + value + "'");
-        return out;
-    }
-    const FlatSettings& values_;
-};
+ProxyFleetConfig readProxies(SettingsReader& reader) {
+    ProxyFleetConfig proxies;
+    proxies.proxyCount = reader.count("Extra.DataPlaneSize", kMaxProxies);
+    proxies.bootstrapTableSize = static_cast<std::uint32_t>(reader.numberOrZero("Extra.Standing"));
+    if (const auto* word = reader.find("Extra.ThrottleBy"))
+        proxies.throttleMode = reader.translate<ThrottleMode>(
+            "Extra.ThrottleBy", *word,
+            {{"ratio", ThrottleMode::Fraction}, {"rps", ThrottleMode::Rate}, {"none", ThrottleMode::None}},
+            ThrottleMode::None);
+    return proxies;
+}
+
+ControlChannelLimits readControlChannel(const SettingsReader& reader) {
+    ControlChannelLimits limits;
+    limits.linesPerSecond = reader.number("Extra.EgressPerS");
+    limits.messageOverheadLines = reader.number("Extra.Envelope");
+    limits.maxQueuedLines = reader.number("Extra.QueueCap");
+    limits.maxMessagesPerProxy = static_cast<std::uint32_t>(reader.numberOrZero("Extra.UpdateCap"));
+    limits.messageWindow = reader.durationOrZero("Extra.UpdateWindowS");
+    limits.meanTransitTime = reader.durationOrZero("Extra.PushDelayS");
+    limits.worstTransitTime = reader.durationOrZero("Extra.WorstTransitS");
+    return limits;
+}
 
-std::vector<std::string> commaList(const std::string* text) {
-    std::vector<std::string> out;
-    if (!text || text->empty()) return out;
-    std::size_t from = 0;
-    for (std::size_t comma; (comma = text->find(',', from)) != std::string::npos; from = comma + 1)
-        out.push_back(text->substr(from, comma - from));
-    out.push_back(text->substr(from));
-    return out;
+SafetyLimits readSafetyLimits(const SettingsReader& reader) {
+    SafetyLimits limits;
+    limits.maxTimeWithoutEndpoint = reader.duration("Extra.BlackholeS");
+    limits.drainGracePeriod = reader.duration("Contract.DrainGraceS");
+    limits.coldCapacityFraction = reader.number("Contract.StartCapacity");
+    limits.warmUpDuration = reader.duration("Contract.ColdS");
+    limits.overloadFactor = reader.number("Contract.FallMultiple");
+    limits.overloadDuration = reader.duration("Contract.OverloadForS");
+    limits.removalIsBinding = !reader.flagOrFalse("Contract.OnlyDrainingBinds");
+    return limits;
 }
 
-/// The value that stands for a word; a word that is not known gets `unknown` and a notice.
-template <class T>
-T translate(StartSettings& out, const std::string& path, const std::string& word,
-            std::initializer_list<std::pair<std::string_view, T>> words, T unknown) {
-    for (const auto& [name, value] : words)
-        if (name == word) return value;
-    out.notices.push_back("start terms: " + path + " has a word that is not known: '" + word + "'");
-    return unknown;
+/// The settings of one class, but for those that stand in lists over all classes.
+RequestClassConfig readRequestClass(SettingsReader& reader, const std::string& path) {
+    RequestClassConfig requestClass;
+    requestClass.latencyObjective = reader.duration(path + "AimS");
+    requestClass.deadline = reader.duration(path + "DeadlineS");
+    requestClass.priorityWeight = reader.number(path + "Worth");
+    requestClass.latePriorityWeight = reader.numberOrZero(path + "LateWorth");
+    // Where it is absent or not known a request may have had an effect, so it is never sent twice.
+    const auto* effect = reader.find(path + "Effect");
+    requestClass.idempotency =
+        reader.translate<Idempotency>(path + "Effect", effect ? *effect : std::string_view{},
+                                      {{"retryable", Idempotency::Idempotent},
+                                       {"dedup", Idempotency::IdempotencyKeyed},
+                                       {"fragile", Idempotency::NonIdempotent}},
+                                      Idempotency::NonIdempotent);
+    return requestClass;
+}
+
+void readRequestClasses(SettingsReader& reader, StartSettings& settings) {
+    const auto classCount = reader.count("Classes.count", kMaxRequestClasses);
+    if (classCount == 0)
+        throw settingsError("Classes.count is 0, and a planner needs a product", "Classes.count");
+    const auto zoneLocal = reader.list("Extra.ZoneBound");
+    const auto writes = reader.list("Extra.ClassWrites");
+    for (std::uint32_t index = 0; index < classCount; ++index) {
+        const std::string path = "Classes." + std::to_string(index) + ".";
+        RequestClassConfig requestClass = readRequestClass(reader, path);
+        requestClass.zoneLocal =
+            index < zoneLocal.size() && SettingsReader::parseFlag("Extra.ZoneBound", zoneLocal[index]);
+        requestClass.writes =
+            index >= writes.size() || SettingsReader::parseFlag("Extra.ClassWrites", writes[index]);
+        settings.requestClasses.push_back(requestClass);
+        const auto* name = reader.find(path + "Name");
+        settings.requestClassNames.push_back(name ? *name : std::to_string(index));
+    }
 }
 
 } // namespace
 
 FlatSettings splitText(std::string_view text) {
-    FlatSettings out;
+    FlatSettings settings;
     while (!text.empty()) {
         const auto end = text.find('\n');
         const auto line = text.substr(0, end);
         text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
-        const auto equals = line.find('=');
         if (line.empty()) continue;
+        const auto equals = line.find('=');
         if (equals == std::string_view::npos)
-            throw InputError("start terms: no '=' in line '" + std::string(line.substr(0, 60)) + "'");
-        out.emplace(line.substr(0, equals), line.substr(equals + 1));
+            throw settingsError("no '=' in line '" + std::string(line.substr(0, kMaxQuotedLine)) + "'");
+        settings.emplace(line.substr(0, equals), line.substr(equals + 1));
     }
-    return out;
+    return settings;
 }
 
-StartSettings readStartSettings(const FlatSettings& flat) {
-    const Terms terms(flat);
-    StartSettings out;
-    out.zoneNames = commaList(&terms.word("Zones"));
-    out.fleet.zoneCount = static_cast<std::uint8_t>(std::min<std::size_t>(out.zoneNames.size(), 255));
-    out.fleet.plannerCount = terms.count("Balancers", 1e6);
-    out.fleet.hasEndpointWeights = terms.word("WeightKind") != "none";
-    out.fleet.mustSubscribeToEndpoints = terms.word("Discovery") == "subscribe";
-    out.fleet.probingAllowed = terms.flagOrFalse("Allowed.MayProbe");
-    out.fleet.reportInterval = terms.timeOrZero("Extra.PeriodS");
-    out.fleet.sharded = terms.numberOr("Extra.Ranges", 0) > 0;
-
-    out.forwarders.proxyCount = terms.count("Extra.DataPlaneSize", 65536);
-    out.forwarders.bootstrapTableSize = static_cast<std::uint32_t>(terms.numberOr("Extra.Standing", 0));
-    if (const auto* word = terms.find("Extra.ThrottleBy"))
-        out.forwarders.throttleMode = translate<ThrottleMode>(
-            out, "Extra.ThrottleBy", *word,
-            {{"ratio", ThrottleMode::Fraction}, {"rps", ThrottleMode::Rate}, {"none", ThrottleMode::None}},
-            ThrottleMode::None);
-
-    out.channel.linesPerSecond = terms.number("Extra.EgressPerS");
-    out.channel.messageOverheadLines = terms.number("Extra.Envelope");
-    out.channel.maxQueuedLines = terms.number("Extra.QueueCap");
-    out.channel.maxMessagesPerProxy = static_cast<std::uint32_t>(terms.numberOr("Extra.UpdateCap", 0));
-    out.channel.messageWindow = terms.timeOrZero("Extra.UpdateWindowS");
-    out.channel.meanTransitTime = terms.timeOrZero("Extra.PushDelayS");
-    out.channel.worstTransitTime = terms.timeOrZero("Extra.WorstTransitS");
-
-    out.guards.maxTimeWithoutEndpoint = terms.time("Extra.BlackholeS");
-    out.guards.drainGracePeriod = terms.time("Contract.DrainGraceS");
-    out.guards.coldCapacityFraction = terms.number("Contract.StartCapacity");
-    out.guards.warmUpDuration = terms.time("Contract.ColdS");
-    out.guards.overloadFactor = terms.number("Contract.FallMultiple");
-    out.guards.overloadDuration = terms.time("Contract.OverloadForS");
-    out.guards.removalIsBinding = !terms.flagOrFalse("Contract.OnlyDrainingBinds");
-
-    const auto products = terms.count("Classes.count", 16);
-    if (products == 0) throw InputError("start terms: Classes.count is 0, and a planner needs a product");
-    const auto ownZone = commaList(terms.find("Extra.ZoneBound"));
-    const auto writes = commaList(terms.find("Extra.ClassWrites"));
-    for (std::uint32_t at = 0; at < products; ++at) {
-        const std::string path = "Classes." + std::to_string(at) + ".";
-        RequestClassConfig product;
-        product.latencyObjective = terms.time(path + "AimS");
-        product.deadline = terms.time(path + "DeadlineS");
-        product.priorityWeight = terms.number(path + "Worth");
-        product.latePriorityWeight = terms.numberOr(path + "LateWorth", 0);
-        const auto* effect =
-            terms.find(path + "Effect"); // absent is as unknown: it may have run, so never again
-        product.idempotency = translate<Idempotency>(out, path + "Effect", effect ? *effect : "",
-                                                     {{"retryable", Idempotency::Idempotent},
-                                                      {"dedup", Idempotency::IdempotencyKeyed},
-                                                      {"fragile", Idempotency::NonIdempotent}},
-                                                     Idempotency::NonIdempotent);
-        product.zoneLocal = at < ownZone.size() && Terms::flag("Extra.ZoneBound", ownZone[at]);
-        product.writes = at >= writes.size() || Terms::flag("Extra.ClassWrites", writes[at]);
-        out.products.push_back(product);
-        const auto* name = terms.find(path + "Name");
-        out.productNames.push_back(name ? *name : std::to_string(at));
-    }
-    out.reportColumns = commaList(terms.find("Reporting.Columns"));
-    out.tick = terms.timeOrZero("TickS");
-    out.connectTimeout = terms.timeOrZero("Allowed.ConnectTimeoutS");
-    return out;
+StartSettings readStartSettings(const FlatSettings& flatSettings) {
+    SettingsReader reader(flatSettings);
+    StartSettings settings;
+    settings.zoneNames = reader.requiredList("Zones");
+    settings.fleet = readFleet(reader, settings.zoneNames.size());
+    settings.proxies = readProxies(reader);
+    settings.controlChannel = readControlChannel(reader);
+    settings.safetyLimits = readSafetyLimits(reader);
+    readRequestClasses(reader, settings);
+    settings.reportColumns = reader.list("Reporting.Columns");
+    settings.tick = reader.durationOrZero("TickS");
+    settings.connectTimeout = reader.durationOrZero("Allowed.ConnectTimeoutS");
+    settings.notices = reader.takeNotices();
+    return settings;
 }
 
-void setLoadField(std::string_view name, double value, LoadReport& into) {
-    static constexpr std::pair<std::string_view, std::optional<double> LoadReport::*> kPlaces[] = {
+void setLoadField(std::string_view name, double value, LoadReport& report) {
+    using Field = std::optional<double> LoadReport::*;
+    static constexpr std::pair<std::string_view, Field> kFields[] = {
         {"busy", &LoadReport::utilization},
         {"util", &LoadReport::utilization},
         {"q", &LoadReport::queueLength},
@@ -168,8 +143,8 @@
         {"inflight", &LoadReport::inFlight},
         {"lat_ms", &LoadReport::serviceTimeMillis},
         {"latency_ms", &LoadReport::serviceTimeMillis}};
-    for (const auto& [known, place] : kPlaces)
-        if (known == name) into.*place = value;
+    for (const auto& [known, field] : kFields)
+        if (known == name) report.*field = value;
 }
 
 } // namespace zincstack::config
--- a/src/discovery/discovery_driver.cpp
+++ b/src/discovery/discovery_driver.cpp
@@ -18,73 +18,78 @@
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
-constexpr Micros kConnectMost = 1s;
-constexpr Micros kPaceLeast = 50ms, kPaceMost = 1s; // between tries that bring nothing
-constexpr Micros kCallGap = 20ms;                   // from a call to the next, where answers come at once
+constexpr Micros kConnectTimeout = 1s;
+constexpr Micros kMinBackoff = 50ms; // between connections that bring no usable response
+constexpr Micros kMaxBackoff = 1s;
+constexpr Micros kMinRequestInterval = 20ms; // where discovery answers every poll at once
 
 } // namespace
 
-DiscoveryDriver::DiscoveryDriver(asio::io_context& io, asio::ip::tcp::endpoint at, DiscoveryWatch& watch,
+DiscoveryDriver::DiscoveryDriver(asio::io_context& io, asio::ip::tcp::endpoint address, DiscoveryWatch& watch,
                                  BufferPool& pool)
-    : io_(io), at_(std::move(at)), watch_(watch), pool_(pool), timer_(io), socket_(io) {}
+    : io_(io), address_(std::move(address)), watch_(watch), pool_(pool), timer_(io), socket_(io) {}
 
-void DiscoveryDriver::start() { asio::co_spawn(io_, follow(), rethrow); }
+void DiscoveryDriver::start() { asio::co_spawn(io_, run(), rethrow); }
 
-void DiscoveryDriver::move(asio::ip::tcp::endpoint at, std::string host) {
-    if (at == at_) return;
-    at_ = std::move(at);
-    ++moves_;
-    watch_.moved(std::move(host));
+void DiscoveryDriver::move(asio::ip::tcp::endpoint address, std::string host) {
+    if (address == address_) return;
+    address_ = std::move(address);
+    ++addressChanges_;
+    watch_.addressChanged(std::move(host));
     boost::system::error_code ignored;
     socket_.close(ignored);
     timer_.cancel();
 }
 
-asio::awaitable<void> DiscoveryDriver::follow() {
-    Micros pace = kPaceLeast;
-    bool answered = true;
+asio::awaitable<void> DiscoveryDriver::run() {
+    Micros backoff = kMinBackoff;
+    bool wasAnswering = true;
     for (;;) {
-        const auto before = watch_.answers(), moves = moves_;
-        co_await converse();
-        const bool came = watch_.answers() != before;
-        if (std::exchange(answered, came) != came)
-            log::info(came ? "discovery_answers" : "discovery_silent", {{"address", net::textOf(at_)}});
-        if (moves != moves_)
-            pace = kPaceLeast;
-        else if (!came)
-            co_await pauseUntil(Steady::now() + pace);
-        pace = came ? kPaceLeast : std::min(2 * pace, kPaceMost);
+        const auto responsesBefore = watch_.acceptedResponses();
+        const auto addressChangesBefore = addressChanges_;
+        co_await serveConnection();
+        const bool answering = watch_.acceptedResponses() != responsesBefore;
+        if (std::exchange(wasAnswering, answering) != answering)
+            log::info(answering ? "discovery_answers" : "discovery_silent",
+                      {{"address", net::textOf(address_)}});
+        if (addressChangesBefore != addressChanges_)
+            backoff = kMinBackoff;
+        else if (!answering)
+            co_await sleepUntil(Steady::now() + backoff);
+        backoff = answering ? kMinBackoff : std::min(2 * backoff, kMaxBackoff);
     }
 }
 
-/// One connection, for as long as it is of use.
-asio::awaitable<void> DiscoveryDriver::converse() {
-    const auto moves = moves_;
+/// One connection, for as long as it is of use. After each suspension the address may have changed; then nothing that
+/// arrived may be fed to the watch, which is to hear of the new address only.
+asio::awaitable<void> DiscoveryDriver::serveConnection() {
+    const auto addressChangesBefore = addressChanges_;
+    const auto addressChanged = [&] { return addressChanges_ != addressChangesBefore; };
     const auto block = pool_.take();
-    boost::system::error_code error;
     socket_ = asio::ip::tcp::socket(io_);
-    if (!block || co_await connectTo(socket_, at_, kConnectMost) || moves != moves_) co_return;
+    if (!block || co_await connectTo(socket_, address_, kConnectTimeout) || addressChanged()) co_return;
     std::string request = watch_.connected();
-    Steady::time_point due{};
+    Steady::time_point deadline{};
+    boost::system::error_code error;
     while (watch_.usable()) {
         if (!request.empty()) {
-            co_await pauseUntil(calledAt_ + kCallGap);
-            if (moves != moves_) co_return;
-            calledAt_ = Steady::now();
-            due = calledAt_ + watch_.patience();
+            co_await sleepUntil(requestedAt_ + kMinRequestInterval);
+            if (addressChanged()) co_return;
+            requestedAt_ = Steady::now();
+            deadline = requestedAt_ + watch_.responseTimeout();
             error = co_await writeAll(socket_, request);
         }
-        std::size_t got = 0;
-        if (!error) got = co_await readPiece(socket_, block, due, error);
-        if (moves != moves_) co_return; // Guards against the old list in the new one's place.
+        std::size_t received = 0;
+        if (!error) received = co_await readPiece(socket_, block, deadline, error);
+        if (addressChanged()) co_return;
         if (error) break;
-        request = watch_.feed({block.data(), got});
+        request = watch_.feed({block.data(), received});
     }
-    if (watch_.usable()) watch_.lost();
+    if (watch_.usable()) watch_.connectionLost();
     socket_.close(error);
 }
 
-asio::awaitable<void> DiscoveryDriver::pauseUntil(Steady::time_point when) {
+asio::awaitable<void> DiscoveryDriver::sleepUntil(Steady::time_point when) {
     boost::system::error_code ignored;
     timer_.expires_at(when);
     co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
--- a/src/discovery/discovery_driver.h
+++ b/src/discovery/discovery_driver.h
@@ -1,4 +1,4 @@
-// Keeps a connection to discovery up and carries the watch's bytes; silence means a new connection.
+// Connects to discovery and carries the requests and responses of a DiscoveryWatch.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,28 +15,30 @@
 
 namespace zincstack::net {
 
+/// Owns the connection. Reconnects when it ends or when a response is late, with exponential backoff while no
+/// connection brings a usable response.
 class DiscoveryDriver {
 public:
-    DiscoveryDriver(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint at, DiscoveryWatch& watch,
-                    BufferPool& pool);
+    DiscoveryDriver(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
+                    DiscoveryWatch& watch, BufferPool& pool);
     void start();
-    /// Leaves the old address at once, in the middle of whatever goes on there.
-    void move(boost::asio::ip::tcp::endpoint at, std::string host);
+    /// Drops the old address at once, whatever goes on there.
+    void move(boost::asio::ip::tcp::endpoint address, std::string host);
 
 private:
     using Steady = std::chrono::steady_clock;
-    boost::asio::awaitable<void> follow();
-    boost::asio::awaitable<void> converse();
-    boost::asio::awaitable<void> pauseUntil(Steady::time_point when);
+    boost::asio::awaitable<void> run();
+    boost::asio::awaitable<void> serveConnection();
+    boost::asio::awaitable<void> sleepUntil(Steady::time_point when);
 
     boost::asio::io_context& io_;
-    boost::asio::ip::tcp::endpoint at_;
+    boost::asio::ip::tcp::endpoint address_;
     DiscoveryWatch& watch_;
     BufferPool& pool_;
     boost::asio::steady_timer timer_;
     boost::asio::ip::tcp::socket socket_;
-    std::uint64_t moves_ = 0;
-    Steady::time_point calledAt_{};
+    std::uint64_t addressChanges_ = 0;
+    Steady::time_point requestedAt_{};
 };
 
 } // namespace zincstack::net
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -10,103 +10,125 @@
 
 using namespace std::chrono_literals;
 
-// Transport limits: how long discovery is asked to hold a watch, and how late any answer may be. What is not heard
-// counts as told 6 s later: a watch that has gone dead is given up, and the next call answered, before that.
-constexpr Micros kWatchFor = 2s, kAnswerMost = 1500ms;
-constexpr int kOlderMost = 10; // answers of an older version in a row: by now it is another count
+// An endpoint that the planner does not hear of counts as reported 6 s later. With these limits a dead watch is given
+// up, and the next request answered, before that.
+constexpr Micros kWatchDuration = 2s;        // for which discovery is asked to hold a request without news
+constexpr Micros kMaxResponseDelay = 1500ms; // beyond that
+constexpr int kMaxOlderResponses = 10;       // in a row; by then discovery must have begun to count anew
+
+constexpr int kStatusOk = 200;
 
 } // namespace
 
-const DiscoveryWatch::Row DiscoveryWatch::kRows[] = {
-    {State::Apart, Input::Connected, State::AskedWhole, Effect::AskWhole},
-    {State::Apart, Input::ConnectedKnowing, State::Watching, Effect::AskNewer},
-    {State::AskedWhole, Input::List, State::Watching, Effect::AskNewer},
-    {State::Watching, Input::List, State::Watching, Effect::AskNewer},
-    {State::Any, Input::Unusable, State::Apart, Effect::LeaveAndForget},
-    {State::Any, Input::Older, State::Apart, Effect::Leave},
-    {State::Any, Input::Lost, State::Apart, Effect::Leave},
-    {State::Any, Input::Moved, State::Apart, Effect::Forget},
+const DiscoveryWatch::Transition DiscoveryWatch::kTransitions[] = {
+    {State::Disconnected, Input::Connected, State::AwaitingSnapshot, Effect::RequestSnapshot},
+    {State::Disconnected, Input::ConnectedWithRevision, State::Watching, Effect::RequestWatch},
+    {State::AwaitingSnapshot, Input::ListAccepted, State::Watching, Effect::RequestWatch},
+    {State::Watching, Input::ListAccepted, State::Watching, Effect::RequestWatch},
+    {State::Any, Input::UnusableResponse, State::Disconnected, Effect::DisconnectAndForgetRevision},
+    {State::Any, Input::OlderRevision, State::Disconnected, Effect::Disconnect},
+    {State::Any, Input::ConnectionLost, State::Disconnected, Effect::Disconnect},
+    {State::Any, Input::AddressChanged, State::Disconnected, Effect::ForgetRevision},
 };
 
-DiscoveryWatch::DiscoveryWatch(std::string host, Told told, Counters& counters, std::size_t answerMost)
-    : host_(std::move(host)), told_(std::move(told)), counters_(counters), answerMost_(answerMost) {}
+DiscoveryWatch::DiscoveryWatch(std::string host, ListHandler handleList, Counters& counters,
+                               std::size_t maxResponseBytes)
+    : host_(std::move(host)), handleList_(std::move(handleList)), counters_(counters),
+      maxResponseBytes_(maxResponseBytes) {}
 
 std::string DiscoveryWatch::connected() {
-    return step(revision_ ? Input::ConnectedKnowing : Input::Connected);
+    return step(revision_ ? Input::ConnectedWithRevision : Input::Connected);
 }
 
 std::string DiscoveryWatch::feed(std::string_view bytes) {
     const std::size_t taken = response_.feed(bytes);
-    if (response_.broken() || (response_.done() && taken != bytes.size())) return step(Input::Unusable);
+    const bool hasExcess = response_.done() && taken != bytes.size();
+    if (response_.broken() || hasExcess) return step(Input::UnusableResponse);
     if (!response_.done()) return {};
-    const Input input = answer();
-    return step(input == Input::List && !response_.keepsOpen() ? Input::Lost : input);
+    const Input input = handleResponse();
+    if (input == Input::ListAccepted && !response_.keepAlive()) return step(Input::ConnectionLost);
+    return step(input);
 }
 
-void DiscoveryWatch::lost() {
+void DiscoveryWatch::connectionLost() {
     response_.ended();
-    step(usable() && response_.done() && answer() == Input::Unusable ? Input::Unusable : Input::Lost);
+    const bool endedResponse = usable() && response_.done();
+    const bool unusable = endedResponse && handleResponse() == Input::UnusableResponse;
+    step(unusable ? Input::UnusableResponse : Input::ConnectionLost);
 }
 
-void DiscoveryWatch::moved(std::string host) {
+void DiscoveryWatch::addressChanged(std::string host) {
     host_ = std::move(host);
-    step(Input::Moved);
+    step(Input::AddressChanged);
 }
 
-Micros DiscoveryWatch::patience() const { return kAnswerMost + (state_ == State::Watching ? kWatchFor : 0s); }
+Micros DiscoveryWatch::responseTimeout() const {
+    return kMaxResponseDelay + (state_ == State::Watching ? kWatchDuration : 0s);
+}
 
+/// Makes the transition of the input; the request that its effect asks for.
 std::string DiscoveryWatch::step(Input input) {
-    const auto row = std::ranges::find_if(kRows, [&](const Row& one) {
+    const auto transition = std::ranges::find_if(kTransitions, [&](const Transition& one) {
         return (one.state == state_ || one.state == State::Any) && one.input == input;
     });
-    counters_.checkInvariant(row != std::end(kRows));
-    if (row == std::end(kRows)) return {};
-    state_ = row->next;
-    response_ = HttpResponse(answerMost_);
-    std::string query;
-    switch (row->effect) {
-    case Effect::LeaveAndForget:
+    counters_.checkInvariant(transition != std::end(kTransitions));
+    if (transition == std::end(kTransitions)) return {};
+    state_ = transition->next;
+    response_ = HttpResponse(maxResponseBytes_);
+    switch (transition->effect) {
+    case Effect::RequestSnapshot: return request("");
+    case Effect::RequestWatch: {
+        const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(kWatchDuration);
+        return request("?index=" + *revision_ + "&wait=" + std::to_string(wait.count()));
+    }
+    case Effect::Disconnect: return {};
+    case Effect::DisconnectAndForgetRevision:
         revision_.reset();
         counters_.recordIgnored(Counter::ListsFailed, "an answer of discovery that can't be used");
         return {};
-    case Effect::Forget: revision_.reset(); return {};
-    case Effect::Leave: return {};
-    case Effect::AskWhole: break;
-    case Effect::AskNewer:
-        query = "?index=" + *revision_ + "&wait=" +
-                std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(kWatchFor).count());
+    case Effect::ForgetRevision: revision_.reset(); return {};
     }
-    return "GET /api/targets" + query + " HTTP/1.1\r\nHost: " + host_ + "\r\n\r\n";
+    return {};
+}
+
+std::string DiscoveryWatch::request(std::string_view query) const {
+    return "GET /api/targets" + std::string(query) + " HTTP/1.1\r\nHost: " + host_ + "\r\n\r\n";
 }
 
-/// Passes a list on; where it can't be used the old one holds. Guards against a version that is older than the one
-/// that is known: a server that drains by now would be taken for ready.
-DiscoveryWatch::Input DiscoveryWatch::answer() {
-    if (response_.status() != 200) return Input::Unusable;
+DiscoveryWatch::Input DiscoveryWatch::handleResponse() {
+    if (response_.status() != kStatusOk) return Input::UnusableResponse;
     try {
-        const json::Value all = json::read(response_.body());
-        const json::Value &revision = json::member(all, "revision"),
-                          &complete = json::member(all, "complete"), &members = json::member(all, "members");
-        if (!revision.is_number() || !complete.is_boolean() || !members.is_array()) return Input::Unusable;
-        if (revision_ && revision.get<double>() < version_ && ++older_ < kOlderMost) {
-            counters_.recordIgnored(Counter::ListsFailed,
-                                    "version " + revision.dump() + " after " + *revision_);
-            return Input::Older;
-        }
-        const bool whole = complete.get<bool>(), anew = std::exchange(older_, 0) >= kOlderMost;
-        if (anew && !whole) return Input::Unusable; // changes to a list that is not known
-        if ((whole || !members.empty()) &&
-            !told_(whole ? EndpointListUpdate::Snapshot : EndpointListUpdate::Delta, members))
-            return Input::Unusable;
-        counters_.add(whole ? Counter::ListsWhole : Counter::ListsChanged);
-        revision_ = revision.dump();
-        version_ = revision.get<double>();
-        ++answers_;
-        return Input::List;
+        const json::Value root = json::read(response_.body());
+        const json::Value& revision = json::member(root, "revision");
+        const json::Value& complete = json::member(root, "complete");
+        const json::Value& members = json::member(root, "members");
+        if (!revision.is_number() || !complete.is_boolean() || !members.is_array())
+            return Input::UnusableResponse;
+        return handleList({revision, members, complete.get<bool>()});
     } catch (const InputError& error) {
         counters_.recordIgnored(Counter::ListsFailed, error.what());
-        return Input::Unusable;
+        return Input::UnusableResponse;
+    }
+}
+
+/// A revision older than the known one is not applied: an endpoint that is draining by now would count as ready.
+DiscoveryWatch::Input DiscoveryWatch::handleList(const EndpointList& list) {
+    const auto revisionNumber = list.revision.get<double>();
+    if (revision_ && revisionNumber < revisionNumber_ && ++olderResponses_ < kMaxOlderResponses) {
+        counters_.recordIgnored(Counter::ListsFailed,
+                                "version " + list.revision.dump() + " after " + *revision_);
+        return Input::OlderRevision;
     }
+    const bool countsAnew = std::exchange(olderResponses_, 0) >= kMaxOlderResponses;
+    if (countsAnew && !list.complete) return Input::UnusableResponse; // a delta to a list that is not known
+    const auto update = list.complete ? EndpointListUpdate::Snapshot : EndpointListUpdate::Delta;
+    const bool hasChanges = list.complete || !list.members.empty();
+    if (hasChanges && !handleList_(update, list.members)) return Input::UnusableResponse;
+    counters_.add(list.complete ? Counter::ListsWhole : Counter::ListsChanged);
+    revision_ = list.revision.dump();
+    revisionNumber_ = revisionNumber;
+    ++acceptedResponses_;
+    return Input::ListAccepted;
 }
 
 } // namespace zincstack::net
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,5 +1,5 @@
-// Follows the list of servers: what to ask next on a connection to discovery, and what its answers say.
-// A state machine fed bytes; it knows no socket.
+// Watches the endpoint list: which request is due on a connection to discovery, and what the responses mean. Knows
+// no socket.
 #pragma once
 
 #include <cstdint>
@@ -15,53 +15,80 @@
 
 namespace zincstack::net {
 
+/// A state machine fed with bytes. It polls for a snapshot of the list first and then for watch events, each later
+/// than the revision that it has. The revision survives a connection, but not a response that can't be used.
 class DiscoveryWatch {
 public:
-    /// False: the members can't be used, and the old list holds.
-    using Told = std::function<bool(EndpointListUpdate, const json::Value& members)>;
+    /// Applies a list; false where its members can't be used, and the list before stays in force.
+    using ListHandler = std::function<bool(EndpointListUpdate, const json::Value& members)>;
 
-    /// `answerMost`: bytes of one answer.
-    DiscoveryWatch(std::string host, Told told, Counters& counters, std::size_t answerMost);
+    DiscoveryWatch(std::string host, ListHandler handleList, Counters& counters,
+                   std::size_t maxResponseBytes);
 
     /// A new connection is up: the request to write.
     std::string connected();
-    /// Feeds what came. The next request, if one is due; `usable()` is false once the connection is spent.
+    /// Takes received bytes; the next request, or none while the response is incomplete or the connection is to be
+    /// closed (see `usable`).
     std::string feed(std::string_view bytes);
-    /// The connection has ended or fallen silent.
-    void lost();
-    /// Discovery is elsewhere from now on, and counts its revisions anew.
-    void moved(std::string host);
-    bool usable() const { return state_ != State::Apart; }
-    /// How many answers could be used so far.
-    std::uint64_t answers() const { return answers_; }
-    /// How long an answer may take before silence means that the connection is dead.
-    Micros patience() const;
+    /// The connection has ended or timed out.
+    void connectionLost();
+    /// Discovery has another address from now on, and counts its revisions from the beginning.
+    void addressChanged(std::string host);
+    /// Whether the current connection is of further use.
+    bool usable() const { return state_ != State::Disconnected; }
+    /// How many responses could be used so far.
+    std::uint64_t acceptedResponses() const { return acceptedResponses_; }
+    /// How long the response to the last request may take before the connection counts as dead.
+    Micros responseTimeout() const;
 
 private:
-    enum class State { Apart, AskedWhole, Watching, Any };
-    enum class Input { Connected, ConnectedKnowing, List, Older, Unusable, Lost, Moved };
-    enum class Effect { AskWhole, AskNewer, Leave, LeaveAndForget, Forget };
-    struct Row {
+    enum class State : std::uint8_t { Disconnected, AwaitingSnapshot, Watching, Any };
+    enum class Input : std::uint8_t {
+        Connected,
+        ConnectedWithRevision,
+        ListAccepted,
+        OlderRevision,
+        UnusableResponse,
+        ConnectionLost,
+        AddressChanged
+    };
+    enum class Effect : std::uint8_t {
+        RequestSnapshot,
+        RequestWatch,
+        Disconnect,
+        DisconnectAndForgetRevision,
+        ForgetRevision
+    };
+    struct Transition {
         State state;
         Input input;
         State next;
         Effect effect;
     };
-    static const Row kRows[];
+    static const Transition kTransitions[];
+
+    /// A response body in discovery's form.
+    struct EndpointList {
+        const json::Value& revision;
+        const json::Value& members;
+        bool complete; ///< a snapshot rather than the changes since the revision asked for
+    };
 
     std::string step(Input input);
-    Input answer();
+    std::string request(std::string_view query) const;
+    Input handleResponse();
+    Input handleList(const EndpointList& list);
 
     std::string host_;
-    Told told_;
+    ListHandler handleList_;
     Counters& counters_;
-    const std::size_t answerMost_;
-    State state_ = State::Apart;
-    HttpResponse response_{answerMost_};
-    std::optional<std::string> revision_; // as it came, and as a figure
-    double version_ = 0;
-    int older_ = 0; // answers of an older version in a row
-    std::uint64_t answers_ = 0;
+    const std::size_t maxResponseBytes_;
+    State state_ = State::Disconnected;
+    HttpResponse response_{maxResponseBytes_};
+    std::optional<std::string> revision_; ///< as discovery writes it
+    double revisionNumber_ = 0;           ///< the same as a number
+    int olderResponses_ = 0;              ///< in a row
+    std::uint64_t acceptedResponses_ = 0;
 };
 
 } // namespace zincstack::net
--- a/src/http/http_response.cpp
+++ b/src/http/http_response.cpp
@@ -10,142 +10,166 @@
 
 namespace {
 
-constexpr std::size_t kHeadBytesMost = 64 * 1024;
-
-bool sameWord(std::string_view one, std::string_view other) {
+constexpr std::size_t kMaxHeadBytes = 64 * 1024; // as common servers limit it
+constexpr int kStatusNoContent = 204;
+constexpr int kStatusNotModified = 304;
+// "HTTP/1.1 200": the place of the status code, and how long the line is at least.
+constexpr std::size_t kStatusCodeOffset = 9;
+constexpr std::size_t kStatusCodeDigits = 3;
+constexpr std::size_t kMinStatusLine = kStatusCodeOffset + kStatusCodeDigits;
+
+bool equalsIgnoringCase(std::string_view left, std::string_view right) {
     return std::ranges::equal(
-        one, other, [](unsigned char a, unsigned char b) { return std::tolower(a) == std::tolower(b); });
+        left, right, [](unsigned char a, unsigned char b) { return std::tolower(a) == std::tolower(b); });
 }
 
+bool isBlank(char character) { return character == ' ' || character == '\t'; }
+
 std::string_view trimmed(std::string_view text) {
-    while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
-    while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+    while (!text.empty() && isBlank(text.front())) text.remove_prefix(1);
+    while (!text.empty() && isBlank(text.back())) text.remove_suffix(1);
     return text;
 }
 
-bool wholeNumber(std::string_view text, std::size_t& into, int base) {
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), into, base);
-    return error == std::errc{} && end == text.data() + text.size();
+/// False where the text as a whole is no number of that base.
+bool parseNumber(std::string_view text, std::size_t& number, int base) {
+    const char* const textEnd = text.data() + text.size();
+    const auto [end, error] = std::from_chars(text.data(), textEnd, number, base);
+    return error == std::errc{} && end == textEnd;
 }
 
 } // namespace
 
-const HttpResponse::Row HttpResponse::kRows[] = {
-    {Stage::StatusLine, Input::Line, Stage::Headers, Effect::Status},
-    {Stage::Headers, Input::Line, Stage::Headers, Effect::Header},
-    {Stage::Headers, Input::Empty, Stage::Done, Effect::StartBody},
-    {Stage::ChunkSize, Input::Line, Stage::Chunk, Effect::Size},
-    {Stage::ChunkEnd, Input::Empty, Stage::ChunkSize, Effect::Nothing},
-    {Stage::Trailers, Input::Line, Stage::Trailers, Effect::Nothing},
-    {Stage::Trailers, Input::Empty, Stage::Done, Effect::Nothing},
+const HttpResponse::Transition HttpResponse::kTransitions[] = {
+    {State::StatusLine, Input::Line, State::Headers, Effect::ReadStatus},
+    {State::Headers, Input::Line, State::Headers, Effect::ReadHeader},
+    {State::Headers, Input::EmptyLine, State::Done, Effect::StartBody},
+    {State::ChunkSize, Input::Line, State::ChunkData, Effect::ReadChunkSize},
+    {State::ChunkEnd, Input::EmptyLine, State::ChunkSize, Effect::None},
+    {State::Trailers, Input::Line, State::Trailers, Effect::None},
+    {State::Trailers, Input::EmptyLine, State::Done, Effect::None},
 };
 
 std::size_t HttpResponse::feed(std::string_view bytes) {
-    const std::size_t all = bytes.size();
+    const std::size_t size = bytes.size();
     while (!bytes.empty() && !done() && !broken()) {
-        if (stage_ == Stage::Sized) {
-            data(bytes, Stage::Done);
-        } else if (stage_ == Stage::Chunk) {
-            data(bytes, Stage::ChunkEnd);
-        } else if (stage_ == Stage::UntilClose) {
-            left_ = bytes.size() + 1;
-            data(bytes, stage_);
-        } else {
-            const auto end = bytes.find('\n');
-            const std::size_t part = end == std::string_view::npos ? bytes.size() : end + 1;
-            if ((headBytes_ += part) > kHeadBytesMost) {
-                stage_ = Stage::Broken;
-                break;
-            }
-            held_.append(bytes.substr(0, part));
-            bytes.remove_prefix(part);
-            if (end == std::string_view::npos) break;
-            std::string text = std::exchange(held_, {});
-            text.pop_back();
-            if (text.ends_with('\r')) text.pop_back();
-            line(text);
+        switch (state_) {
+        case State::BodyOfLength: feedBody(bytes, State::Done); break;
+        case State::ChunkData: feedBody(bytes, State::ChunkEnd); break;
+        case State::BodyUntilClose:
+            remainingBytes_ = bytes.size() + 1; // never all
+            feedBody(bytes, State::BodyUntilClose);
+            break;
+        default: feedLine(bytes);
         }
     }
-    return all - bytes.size();
+    return size - bytes.size();
 }
 
 void HttpResponse::ended() {
-    if (!done()) stage_ = stage_ == Stage::UntilClose ? Stage::Done : Stage::Broken;
+    if (!done()) state_ = state_ == State::BodyUntilClose ? State::Done : State::Broken;
+}
+
+void HttpResponse::feedLine(std::string_view& bytes) {
+    const auto end = bytes.find('\n');
+    const bool complete = end != std::string_view::npos;
+    const std::size_t part = complete ? end + 1 : bytes.size();
+    headBytes_ += part;
+    if (headBytes_ > kMaxHeadBytes) {
+        state_ = State::Broken;
+        return;
+    }
+    unfinishedLine_.append(bytes.substr(0, part));
+    bytes.remove_prefix(part);
+    if (!complete) return;
+    std::string line = std::exchange(unfinishedLine_, {});
+    line.pop_back();
+    if (line.ends_with('\r')) line.pop_back();
+    handleLine(line);
 }
 
-void HttpResponse::line(std::string_view text) {
-    const Input input = text.empty() ? Input::Empty : Input::Line;
-    const auto row = std::ranges::find_if(
-        kRows, [&](const Row& one) { return one.stage == stage_ && one.input == input; });
-    if (row == std::end(kRows)) {
-        stage_ = Stage::Broken;
+void HttpResponse::handleLine(std::string_view text) {
+    const Input input = text.empty() ? Input::EmptyLine : Input::Line;
+    const auto transition = std::ranges::find_if(
+        kTransitions, [&](const Transition& one) { return one.state == state_ && one.input == input; });
+    if (transition == std::end(kTransitions)) {
+        state_ = State::Broken;
         return;
     }
-    stage_ = row->next;
-    switch (row->effect) {
-    case Effect::Nothing: return;
-    case Effect::Status: return status(text);
-    case Effect::Header: return header(text);
+    state_ = transition->next;
+    switch (transition->effect) {
+    case Effect::None: return;
+    case Effect::ReadStatus: return readStatus(text);
+    case Effect::ReadHeader: return readHeader(text);
     case Effect::StartBody: return startBody();
-    case Effect::Size: return size(text);
+    case Effect::ReadChunkSize: return readChunkSize(text);
     }
 }
 
-void HttpResponse::status(std::string_view text) {
+void HttpResponse::readStatus(std::string_view text) {
     std::size_t code = 0;
-    if (!text.starts_with("HTTP/1.") || text.size() < 12 || text[8] != ' ' ||
-        !wholeNumber(text.substr(9, 3), code, 10))
-        stage_ = Stage::Broken;
+    const bool wellFormed = text.starts_with("HTTP/1.") && text.size() >= kMinStatusLine &&
+                            text[kStatusCodeOffset - 1] == ' ' &&
+                            parseNumber(text.substr(kStatusCodeOffset, kStatusCodeDigits), code, 10);
+    if (!wellFormed) state_ = State::Broken;
     status_ = static_cast<int>(code);
-    keepsOpen_ = !text.starts_with("HTTP/1.0");
+    keepAlive_ = !text.starts_with("HTTP/1.0");
 }
 
-void HttpResponse::header(std::string_view text) {
+void HttpResponse::readHeader(std::string_view text) {
     const auto colon = text.find(':');
     if (colon == std::string_view::npos) {
-        stage_ = Stage::Broken;
+        state_ = State::Broken;
         return;
     }
-    const auto name = text.substr(0, colon), value = trimmed(text.substr(colon + 1));
-    if (sameWord(name, "Content-Length")) {
-        sized_ = true;
-        if (!wholeNumber(value, left_, 10) || left_ > bodyMost_) stage_ = Stage::Broken;
-    } else if (sameWord(name, "Transfer-Encoding")) {
-        chunked_ = sameWord(value, "chunked");
-    } else if (sameWord(name, "Connection")) {
-        keepsOpen_ = !sameWord(value, "close");
-    } else if (sameWord(name, "X-Never-Ran")) {
+    const auto name = text.substr(0, colon);
+    const auto value = trimmed(text.substr(colon + 1));
+    if (equalsIgnoringCase(name, "Content-Length")) {
+        hasLength_ = true;
+        if (!parseNumber(value, remainingBytes_, 10) || remainingBytes_ > maxBodyBytes_)
+            state_ = State::Broken;
+    } else if (equalsIgnoringCase(name, "Transfer-Encoding")) {
+        chunked_ = equalsIgnoringCase(value, "chunked");
+    } else if (equalsIgnoringCase(name, "Connection")) {
+        keepAlive_ = !equalsIgnoringCase(value, "close");
+    } else if (equalsIgnoringCase(name, "X-Never-Ran")) {
         neverRan_ = true;
     }
 }
 
 void HttpResponse::startBody() {
-    if (status_ / 100 == 1)
-        *this = HttpResponse(bodyMost_);
-    else if (status_ == 204 || status_ == 304 || (sized_ && !chunked_ && left_ == 0))
-        stage_ = Stage::Done;
+    const bool isInterim = status_ / 100 == 1;
+    const bool hasNoBody = status_ == kStatusNoContent || status_ == kStatusNotModified ||
+                           (hasLength_ && !chunked_ && remainingBytes_ == 0);
+    if (isInterim)
+        *this = HttpResponse(maxBodyBytes_);
+    else if (hasNoBody)
+        state_ = State::Done;
+    else if (chunked_)
+        state_ = State::ChunkSize;
     else
-        stage_ = chunked_ ? Stage::ChunkSize : sized_ ? Stage::Sized : Stage::UntilClose;
+        state_ = hasLength_ ? State::BodyOfLength : State::BodyUntilClose;
 }
 
-void HttpResponse::size(std::string_view text) {
-    headBytes_ = 0; // chunk lines are bounded each, the body by its own bound
-    if (!wholeNumber(trimmed(text.substr(0, text.find(';'))), left_, 16) || left_ > bodyMost_)
-        stage_ = Stage::Broken;
-    else if (left_ == 0)
-        stage_ = Stage::Trailers;
+void HttpResponse::readChunkSize(std::string_view text) {
+    headBytes_ = 0; // each line of a chunk is bounded alone; the body has its own bound
+    const auto size = trimmed(text.substr(0, text.find(';')));
+    if (!parseNumber(size, remainingBytes_, 16) || remainingBytes_ > maxBodyBytes_)
+        state_ = State::Broken;
+    else if (remainingBytes_ == 0)
+        state_ = State::Trailers;
 }
 
-void HttpResponse::data(std::string_view& bytes, Stage next) {
-    const std::size_t part = std::min(left_, bytes.size());
-    if (body_.size() + part > bodyMost_) {
-        stage_ = Stage::Broken;
+void HttpResponse::feedBody(std::string_view& bytes, State next) {
+    const std::size_t part = std::min(remainingBytes_, bytes.size());
+    if (body_.size() + part > maxBodyBytes_) {
+        state_ = State::Broken;
         return;
     }
     body_.append(bytes.substr(0, part));
     bytes.remove_prefix(part);
-    left_ -= part;
-    if (left_ == 0) stage_ = next;
+    remainingBytes_ -= part;
+    if (remainingBytes_ == 0) state_ = next;
 }
 
 } // namespace zincstack::net
--- a/src/http/http_response.h
+++ b/src/http/http_response.h
@@ -1,65 +1,76 @@
-// Reads one HTTP/1.1 response, fed in any pieces. Knows no socket.
+// Parser of one HTTP/1.1 response that arrives in arbitrary pieces. Knows no socket.
 #pragma once
 
 #include <cstddef>
+#include <cstdint>
 #include <string>
 #include <string_view>
 
 namespace zincstack::net {
 
+/// A state machine over lines and body bytes. Reads bodies by Content-Length, in chunks, or until the connection
+/// closes; interim responses (1xx) are skipped.
 class HttpResponse {
 public:
-    enum class Stage {
-        StatusLine,
-        Headers,
-        Sized,
-        UntilClose,
-        ChunkSize,
-        Chunk,
-        ChunkEnd,
-        Trailers,
-        Done,
-        Broken
-    };
-
-    explicit HttpResponse(std::size_t bodyMost) : bodyMost_(bodyMost) {}
+    explicit HttpResponse(std::size_t maxBodyBytes) : maxBodyBytes_(maxBodyBytes) {}
 
-    /// Returns how many bytes it took: all of them unless the response is done or broken.
+    /// The number of bytes taken: all of them unless the response is done or broken.
     std::size_t feed(std::string_view bytes);
-    /// The connection has ended: done if the response could end so, else broken.
+    /// The connection is closed: the response is done if it may end so, otherwise broken.
     void ended();
 
-    bool done() const { return stage_ == Stage::Done; }
-    bool broken() const { return stage_ == Stage::Broken; }
+    bool done() const { return state_ == State::Done; }
+    /// Malformed, larger than allowed, or cut off.
+    bool broken() const { return state_ == State::Broken; }
     int status() const { return status_; }
     const std::string& body() const { return body_; }
-    bool keepsOpen() const { return keepsOpen_; }
+    /// Whether the server takes another request on this connection.
+    bool keepAlive() const { return keepAlive_; }
+    /// Whether the server says by its header X-Never-Ran that the request had no effect.
     bool neverRan() const { return neverRan_; }
 
 private:
-    enum class Input { Line, Empty };
-    enum class Effect { Nothing, Status, Header, StartBody, Size };
-    struct Row {
-        Stage stage;
+    enum class State : std::uint8_t {
+        StatusLine,
+        Headers,
+        BodyOfLength,
+        BodyUntilClose,
+        ChunkSize,
+        ChunkData,
+        ChunkEnd,
+        Trailers,
+        Done,
+        Broken
+    };
+    enum class Input : std::uint8_t { Line, EmptyLine };
+    enum class Effect : std::uint8_t { None, ReadStatus, ReadHeader, StartBody, ReadChunkSize };
+    struct Transition {
+        State state;
         Input input;
-        Stage next;
+        State next;
         Effect effect;
     };
-    static const Row kRows[];
+    static const Transition kTransitions[];
 
-    void line(std::string_view text);
-    void status(std::string_view text);
-    void header(std::string_view text);
+    void feedLine(std::string_view& bytes);
+    void feedBody(std::string_view& bytes, State next);
+    void handleLine(std::string_view text);
+    void readStatus(std::string_view text);
+    void readHeader(std::string_view text);
     void startBody();
-    void size(std::string_view text);
-    void data(std::string_view& bytes, Stage next);
+    void readChunkSize(std::string_view text);
 
-    std::size_t bodyMost_;
-    Stage stage_ = Stage::StatusLine;
-    std::string held_, body_; // a line without its end yet; the body as far as it came
-    std::size_t left_ = 0, headBytes_ = 0;
+    std::size_t maxBodyBytes_;
+    State state_ = State::StatusLine;
+    std::string unfinishedLine_;
+    std::string body_;
+    std::size_t remainingBytes_ = 0; ///< of the body, or of the chunk
+    std::size_t headBytes_ = 0;      ///< in lines so far
     int status_ = 0;
-    bool sized_ = false, chunked_ = false, keepsOpen_ = true, neverRan_ = false;
+    bool hasLength_ = false;
+    bool chunked_ = false;
+    bool keepAlive_ = true;
+    bool neverRan_ = false;
 };
 
 } // namespace zincstack::net
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -4,66 +4,77 @@
 
 namespace {
 
-/// Guards against depth: a text of thousands of opening brackets costs a node each, so it is stopped early.
-class Bounded : public nlohmann::detail::json_sax_dom_parser<Value> {
+/// Stops at a maximum depth: a text of thousands of opening brackets would cost a node of the tree each.
+class DepthLimitedParser : public nlohmann::detail::json_sax_dom_parser<Value> {
 public:
-    Bounded(Value& into, int depthMost) : json_sax_dom_parser(into, false), most_(depthMost) {}
-    bool start_object(std::size_t size) { return deeper() && json_sax_dom_parser::start_object(size); }
-    bool end_object() { return --depth_, json_sax_dom_parser::end_object(); }
-    bool start_array(std::size_t size) { return deeper() && json_sax_dom_parser::start_array(size); }
-    bool end_array() { return --depth_, json_sax_dom_parser::end_array(); }
+    DepthLimitedParser(Value& tree, int maxDepth) : json_sax_dom_parser(tree, false), maxDepth_(maxDepth) {}
+
+    bool start_object(std::size_t size) { return enterLevel() && json_sax_dom_parser::start_object(size); }
+    bool end_object() {
+        --depth_;
+        return json_sax_dom_parser::end_object();
+    }
+    bool start_array(std::size_t size) { return enterLevel() && json_sax_dom_parser::start_array(size); }
+    bool end_array() {
+        --depth_;
+        return json_sax_dom_parser::end_array();
+    }
     template <class Exception>
-    bool parse_error(std::size_t at, const std::string& token, const Exception& error) {
-        const std::string what = error.what();
-        const auto colon = what.find(": "); // past the library's own prefix
-        fault = "JSON at offset " + std::to_string(at) + ": " +
-                (colon == std::string::npos ? what : what.substr(colon + 2));
-        return json_sax_dom_parser::parse_error(at, token, error);
+    bool parse_error(std::size_t offset, const std::string& token, const Exception& error) {
+        const std::string description = error.what();
+        const auto colon = description.find(": "); // the end of the library's own prefix
+        error_ = "JSON at offset " + std::to_string(offset) + ": " +
+                 (colon == std::string::npos ? description : description.substr(colon + 2));
+        return json_sax_dom_parser::parse_error(offset, token, error);
     }
-    std::string fault;
+
+    const std::string& error() const { return error_; }
 
 private:
-    bool deeper() {
-        if (++depth_ <= most_) return true;
-        fault = "JSON: too deep, more than " + std::to_string(most_) + " levels";
+    bool enterLevel() {
+        if (++depth_ <= maxDepth_) return true;
+        error_ = "JSON: too deep, more than " + std::to_string(maxDepth_) + " levels";
         return false;
     }
-    const int most_;
+
+    const int maxDepth_;
     int depth_ = 0;
+    std::string error_;
 };
 
 } // namespace
 
-Value read(std::string_view text, int depthMost) {
-    Value out;
-    Bounded sax(out, depthMost);
-    if (!Value::sax_parse(text.begin(), text.end(), &sax)) throw InputError(sax.fault);
-    return out;
+Value read(std::string_view text, int maxDepth) {
+    Value root;
+    DepthLimitedParser parser(root, maxDepth);
+    if (!Value::sax_parse(text.begin(), text.end(), &parser)) throw InputError(parser.error());
+    return root;
 }
 
-Value readCbor(std::string_view bytes, int depthMost) {
-    Value out;
-    Bounded sax(out, depthMost);
+Value readCbor(std::string_view bytes, int maxDepth) {
+    Value root;
+    DepthLimitedParser parser(root, maxDepth);
     try {
-        return Value::sax_parse(bytes.begin(), bytes.end(), &sax, Value::input_format_t::cbor) ? out
-                                                                                               : Value();
-    } catch (const Value::exception&) { return {}; } // a size told that no memory holds is thrown, not told
+        const bool parsed =
+            Value::sax_parse(bytes.begin(), bytes.end(), &parser, Value::input_format_t::cbor);
+        return parsed ? root : Value();
+    } catch (const Value::exception&) { return {}; } // thrown for a declared size that exceeds memory
 }
 
 std::string writeCbor(const Value& value) {
-    std::string out;
-    Value::to_cbor(value, out);
-    return out;
+    std::string bytes;
+    Value::to_cbor(value, bytes);
+    return bytes;
 }
 
-const Value& member(const Value& of, const char* name) {
-    static const Value kNothing;
-    const auto found = of.find(name);
-    return found == of.end() ? kNothing : *found;
+const Value& member(const Value& object, const char* name) {
+    static const Value kAbsent;
+    const auto found = object.find(name);
+    return found == object.end() ? kAbsent : *found;
 }
 
-const std::string* textOf(const Value& of, const char* name) {
-    return member(of, name).get_ptr<const std::string*>();
+const std::string* textOf(const Value& object, const char* name) {
+    return member(object, name).get_ptr<const std::string*>();
 }
 
 } // namespace zincstack::json
--- a/src/json/schema.cpp
+++ b/src/json/schema.cpp
@@ -7,51 +7,59 @@
 #include <valijson/validator.hpp>
 
 #include <algorithm>
+#include <iterator>
 
 namespace zincstack::json {
 
 namespace {
 
-/// The library names a place as <root>[a][b]; ours are JSON pointers.
+void appendEscaped(std::string_view name, std::string& pointer) {
+    for (const char character : name) {
+        if (character == '~')
+            pointer += "~0";
+        else if (character == '/')
+            pointer += "~1";
+        else
+            pointer += character;
+    }
+}
+
+/// The library names a place as <root>[a][b]; this is the JSON pointer of the same place.
 std::string pointerOf(const std::vector<std::string>& context) {
-    std::string out;
-    for (const auto& part : context) {
+    std::string pointer;
+    for (const std::string_view part : context) {
         if (part == "<root>") continue;
-        std::string name = part;
-        if (name.starts_with('[') && name.ends_with(']')) name = name.substr(1, name.size() - 2);
-        out += '/';
-        for (const char one : name)
-            if (one == '~')
-                out += "~0";
-            else if (one == '/')
-                out += "~1";
-            else
-                out += one;
+        const bool bracketed = part.starts_with('[') && part.ends_with(']');
+        pointer += '/';
+        appendEscaped(bracketed ? part.substr(1, part.size() - 2) : part, pointer);
     }
-    return out;
+    return pointer;
+}
+
+/// A value that failed only because one below it did is not worth a line of its own.
+bool isExplainedBelow(const ValidationError& error, const std::vector<ValidationError>& all) {
+    if (!error.message.starts_with("Failed to validate")) return false;
+    return std::ranges::any_of(
+        all, [&](const ValidationError& other) { return other.pointer.starts_with(error.pointer + "/"); });
 }
 
 } // namespace
 
-std::vector<Fault> faultsOf(const Value& value, std::string_view schema) {
-    const Value source = read(schema);
-    valijson::Schema parsed;
-    valijson::SchemaParser().populateSchema(valijson::adapters::NlohmannJsonAdapter(source), parsed);
+std::vector<ValidationError> validate(const Value& value, std::string_view schema) {
+    const Value schemaTree = read(schema);
+    valijson::Schema parsedSchema;
+    valijson::SchemaParser().populateSchema(valijson::adapters::NlohmannJsonAdapter(schemaTree),
+                                            parsedSchema);
     valijson::ValidationResults results;
-    valijson::Validator().validate(parsed, valijson::adapters::NlohmannJsonAdapter(value), &results);
-    std::vector<Fault> out;
+    valijson::Validator().validate(parsedSchema, valijson::adapters::NlohmannJsonAdapter(value), &results);
+    std::vector<ValidationError> all;
     for (valijson::ValidationResults::Error error; results.popError(error);)
-        out.push_back({pointerOf(error.context), error.description});
-    // That a place failed since one below it did says nothing more.
-    std::erase_if(out, [&](const Fault& one) {
-        return one.what.starts_with("Failed to validate") &&
-               std::ranges::any_of(out, [&](const Fault& other) {
-                   return other.pointer.size() > one.pointer.size() &&
-                          other.pointer.starts_with(one.pointer + "/");
-               });
-    });
-    std::ranges::stable_sort(out, {}, &Fault::pointer);
-    return out;
+        all.push_back({pointerOf(error.context), error.description});
+    std::vector<ValidationError> errors;
+    std::ranges::copy_if(all, std::back_inserter(errors),
+                         [&](const ValidationError& error) { return !isExplainedBelow(error, all); });
+    std::ranges::stable_sort(errors, {}, &ValidationError::pointer);
+    return errors;
 }
 
 } // namespace zincstack::json
--- a/src/json/schema.h
+++ b/src/json/schema.h
@@ -1,4 +1,4 @@
-// Holds a tree against a JSON schema (draft 7), by valijson, and tells every fault by its place.
+// Validates a JSON tree against a JSON schema (draft 7), by valijson.
 #pragma once
 
 #include <string>
@@ -9,11 +9,12 @@
 
 namespace zincstack::json {
 
-struct Fault {
+struct ValidationError {
     std::string pointer; ///< JSON pointer of the value; empty: the whole document
-    std::string what;
+    std::string message;
 };
-/// The faults of the tree, by place; none: it is sound. The schema is the program's own.
-std::vector<Fault> faultsOf(const Value& value, std::string_view schema);
+
+/// All errors of the tree, sorted by place; empty if it is valid. The schema is the program's own and must be valid.
+std::vector<ValidationError> validate(const Value& value, std::string_view schema);
 
 } // namespace zincstack::json
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -4,7 +4,6 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <memory>
 
 #include "json/json.h"
 
@@ -12,68 +11,76 @@
 
 namespace {
 
-Format& formatInUse() {
+constexpr const char* kTextPattern = "%H:%M:%S.%e %l %v";
+constexpr const char* kJsonPattern = R"({"time":"%Y-%m-%dT%H:%M:%S.%f%z",%v)";
+constexpr spdlog::level::level_enum kSpdlogLevels[] = {spdlog::level::debug, spdlog::level::info,
+                                                       spdlog::level::warn, spdlog::level::critical};
+constexpr std::string_view kLevelNames[] = {"debug", "info", "warning", "critical"};
+
+Format& currentFormat() {
     static Format format = Format::Text;
     return format;
 }
-constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info,
-                                                 spdlog::level::warn, spdlog::level::critical};
-constexpr std::string_view kNames[] = {"debug", "info", "warning", "critical"};
-
-/// As it is, or in quotes where it would not be one word.
-std::string wordOf(const std::string& text) {
-    const bool plain = !text.empty() && std::ranges::all_of(text, [](char one) {
-        return one > ' ' && one != '"' && one != '=' && one != '\x7f';
+
+spdlog::level::level_enum spdlogLevel(Level level) { return kSpdlogLevels[static_cast<std::size_t>(level)]; }
+
+/// Bytes that are not UTF-8 are replaced rather than refused.
+template <class Json>
+std::string dump(const Json& value) {
+    return value.dump(-1, ' ', false, json::Value::error_handler_t::replace);
+}
+
+/// The text itself where it is one plain word, otherwise in quotes.
+std::string quotedIfNeeded(const std::string& text) {
+    const bool isPlain = !text.empty() && std::ranges::all_of(text, [](char character) {
+        return character > ' ' && character != '"' && character != '=' && character != '\x7f';
     });
-    if (plain) return text;
-    return json::Value(text).dump(-1, ' ', false, json::Value::error_handler_t::replace);
+    return isPlain ? text : dump(json::Value(text));
+}
+
+std::string formatJson(Level level, std::string_view event, const Fields& fields) {
+    nlohmann::ordered_json object;
+    object["level"] = kLevelNames[static_cast<std::size_t>(level)];
+    object["event"] = event;
+    for (const auto& [name, value] : fields) {
+        auto& member = object[std::string(name)];
+        std::visit([&](const auto& plain) { member = plain; }, value);
+    }
+    return dump(object).substr(1);
+}
+
+std::string formatValue(const decltype(Field::value)& value) {
+    if (const auto* text = std::get_if<std::string>(&value)) return quotedIfNeeded(*text);
+    return std::visit([](const auto& plain) { return json::Value(plain).dump(); }, value);
+}
+
+std::string formatText(std::string_view event, const Fields& fields) {
+    std::string line(event);
+    for (const auto& [name, value] : fields)
+        line.append(" ").append(name).append("=").append(formatValue(value));
+    return line;
 }
 
 } // namespace
 
-void start(Format format, Level least) {
-    formatInUse() = format;
+void start(Format format, Level minLevel) {
+    currentFormat() = format;
     static const auto logger = spdlog::stderr_logger_st("zincstack");
     spdlog::set_default_logger(logger);
-    spdlog::set_pattern(format == Format::Json ? R"({"time":"%Y-%m-%dT%H:%M:%S.%f%z",%v)"
-                                               : "%H:%M:%S.%e %l %v");
-    spdlog::set_level(kLevels[static_cast<std::size_t>(least)]);
+    spdlog::set_pattern(format == Format::Json ? kJsonPattern : kTextPattern);
+    spdlog::set_level(spdlogLevel(minLevel));
 }
 
-std::string lineOf(Format format, Level level, std::string_view event, const Fields& fields) {
-    if (format == Format::Json) {
-        nlohmann::ordered_json out;
-        out["level"] = kNames[static_cast<std::size_t>(level)];
-        out["event"] = event;
-        for (const auto& [name, value] : fields)
-            std::visit([&, at = std::string(name)](const auto& one) { out[at] = one; }, value);
-        // Without the opening brace: the time goes before.
-        return out.dump(-1, ' ', false, json::Value::error_handler_t::replace).substr(1);
-    }
-    std::string out(event);
-    for (const auto& [name, value] : fields) {
-        out.append(" ").append(name) += "=";
-        if (const auto* text = std::get_if<std::string>(&value))
-            out += wordOf(*text);
-        else
-            std::visit(
-                [&](const auto& one) {
-                    if constexpr (!std::is_same_v<std::decay_t<decltype(one)>, std::string>)
-                        out += json::Value(one).dump();
-                },
-                value);
-    }
-    return out;
+std::string formatLine(Format format, Level level, std::string_view event, const Fields& fields) {
+    return format == Format::Json ? formatJson(level, event, fields) : formatText(event, fields);
 }
 
-bool enabled(Level level) {
-    return spdlog::default_logger_raw()->should_log(kLevels[static_cast<std::size_t>(level)]);
-}
+bool enabled(Level level) { return spdlog::default_logger_raw()->should_log(spdlogLevel(level)); }
 
-void tell(Level level, std::string_view event, const Fields& fields) {
+void write(Level level, std::string_view event, const Fields& fields) {
     if (!enabled(level)) return;
-    spdlog::default_logger_raw()->log(kLevels[static_cast<std::size_t>(level)],
-                                      spdlog::string_view_t(lineOf(formatInUse(), level, event, fields)));
+    const std::string line = formatLine(currentFormat(), level, event, fields);
+    spdlog::default_logger_raw()->log(spdlogLevel(level), spdlog::string_view_t(line));
 }
 
 } // namespace zincstack::log
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,10 +1,11 @@
-// The program's log: events with fields rather than sentences, one a line, as text or as JSON. On spdlog.
+// The program's log: events with fields, one a line, as text or as JSON. On spdlog.
 #pragma once
 
 #include <cstdint>
 #include <initializer_list>
 #include <string>
 #include <string_view>
+#include <type_traits>
 #include <variant>
 #include <vector>
 
@@ -13,43 +14,48 @@
 enum class Format : std::uint8_t { Text, Json };
 enum class Level : std::uint8_t { Debug, Info, Warn, Critical };
 
+/// A named value. The name must outlive the field; the value is copied.
 struct Field {
     template <class T>
-    Field(std::string_view itsName, const T& its) : name(itsName), value(plain(its)) {}
+    Field(std::string_view fieldName, const T& fieldValue) : name(fieldName), value(toValue(fieldValue)) {}
+
     std::string_view name;
     std::variant<std::string, std::int64_t, double, bool> value;
 
 private:
     template <class T>
-    static decltype(value) plain(const T& its) {
+    static decltype(value) toValue(const T& fieldValue) {
         if constexpr (std::is_same_v<T, bool>)
-            return its;
+            return fieldValue;
         else if constexpr (std::is_integral_v<T>)
-            return static_cast<std::int64_t>(its);
+            return static_cast<std::int64_t>(fieldValue);
         else if constexpr (std::is_floating_point_v<T>)
-            return static_cast<double>(its);
+            return static_cast<double>(fieldValue);
         else
-            return std::string(its);
+            return std::string(fieldValue);
     }
 };
 using Fields = std::vector<Field>;
 
-/// To standard error from now on; what is below the level is left out. May be called again.
-void start(Format format, Level least);
-void tell(Level level, std::string_view event, const Fields& fields);
-/// Whether what has that level is written at all.
+/// Logs to standard error from now on; events below `minLevel` are left out. May be called again.
+void start(Format format, Level minLevel);
+/// Whether events of that level are written.
 bool enabled(Level level);
-inline void info(std::string_view event, const Fields& fields = {}) { tell(Level::Info, event, fields); }
-/// Its fields are copied only where they are written: it stands on hot paths.
+/// Logs one event.
+void write(Level level, std::string_view event, const Fields& fields);
+
+/// Takes a list rather than Fields: on hot paths the fields are copied only where they are written.
 inline void debug(std::string_view event, const std::initializer_list<Field>& fields) {
-    if (enabled(Level::Debug)) tell(Level::Debug, event, fields);
+    if (enabled(Level::Debug)) write(Level::Debug, event, fields);
 }
-inline void warn(std::string_view event, const Fields& fields = {}) { tell(Level::Warn, event, fields); }
+inline void info(std::string_view event, const Fields& fields = {}) { write(Level::Info, event, fields); }
+inline void warn(std::string_view event, const Fields& fields = {}) { write(Level::Warn, event, fields); }
 inline void critical(std::string_view event, const Fields& fields = {}) {
-    tell(Level::Critical, event, fields);
+    write(Level::Critical, event, fields);
 }
 
-/// One line without its time: what `tell` writes, for tests and for other sinks. JSON has it all but the time.
-std::string lineOf(Format format, Level level, std::string_view event, const Fields& fields);
+/// The line of an event without its time, as `write` hands it to the sink. The JSON object lacks its opening brace:
+/// the sink writes that with the time.
+std::string formatLine(Format format, Level level, std::string_view event, const Fields& fields);
 
 } // namespace zincstack::log
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// zincstack: reads the command line and hands over to what it names.
+// zincstack: parses the command line and runs the chosen command.
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -10,24 +10,36 @@
 #include "command/subscribe.h"
 #include "errors/input_error.h"
 
-int main(int count, char** words) {
-    using namespace zincstack;
-    command::HeldSignals held; // first of all: a SIGHUP may come as soon as the process is there
-    const auto read = command::read(count, words);
-    if (const int* code = std::get_if<int>(&read)) return *code;
-    const auto& order = std::get<command::Order>(read);
+namespace {
+
+using namespace zincstack;
+
+constexpr int kExitFailure = 1;
+constexpr int kExitUnusableInput = 2;
+
+int execute(const command::Command& chosen, command::SignalMask& signals) {
+    if (const auto* run = std::get_if<command::RunOptions>(&chosen)) return command::run(*run, signals);
+    signals.unblock(); // the other commands leave the signals to their defaults or handle them at once
+    if (const auto* check = std::get_if<command::CheckOptions>(&chosen))
+        return command::check(*check, std::cout);
+    if (const auto* subscribe = std::get_if<command::SubscribeOptions>(&chosen))
+        return command::subscribe(*subscribe);
+    return command::standin(std::get<command::StandinOptions>(chosen));
+}
+
+} // namespace
+
+int main(int argumentCount, char** arguments) {
+    command::SignalMask signals; // before anything else: SIGHUP may arrive as soon as the process exists
+    const auto parsed = command::parseCommandLine(argumentCount, arguments);
+    if (const int* exitCode = std::get_if<int>(&parsed)) return *exitCode;
     try {
-        if (const auto* run = std::get_if<command::Run>(&order)) return command::run(*run, held);
-        held.letIn();
-        if (const auto* check = std::get_if<command::Check>(&order)) return command::check(*check, std::cout);
-        if (const auto* subscribe = std::get_if<command::Subscribe>(&order))
-            return command::subscribe(*subscribe);
-        return command::standin(std::get<command::Standin>(order));
+        return execute(std::get<command::Command>(parsed), signals);
     } catch (const InputError& error) {
         std::fprintf(stderr, "zincstack: %s\n", error.what());
-        return 2;
+        return kExitUnusableInput;
     } catch (const std::exception& error) {
         std::fprintf(stderr, "zincstack: %s\n", error.what());
-        return 1;
+        return kExitFailure;
     }
 }
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr auto kTellEvery = std::chrono::seconds(1);
-constexpr std::size_t kDetailMost = 120;
+constexpr auto kMinLogInterval = std::chrono::seconds(1); // for each counter
+constexpr std::size_t kMaxDetailLength = 120;             // peers choose the text
 
 constexpr std::string_view kNames[] = {"accepted",
                                        "closed",
@@ -69,23 +69,25 @@
 
 } // namespace
 
-std::string_view nameOf(Counter what) { return kNames[static_cast<std::size_t>(what)]; }
+std::string_view nameOf(Counter counter) { return kNames[static_cast<std::size_t>(counter)]; }
 
-void Counters::recordIgnored(Counter what, std::string_view detail) {
-    add(what);
+void Counters::recordIgnored(Counter counter, std::string_view detail) {
+    add(counter);
+    constexpr std::chrono::steady_clock::time_point kNever{};
     const auto now = std::chrono::steady_clock::now();
-    auto& told = toldAt_[static_cast<std::size_t>(what)];
-    if (told != std::chrono::steady_clock::time_point{} && now - told < kTellEvery) return;
-    told = now;
-    log::warn("passed_over",
-              {{"kind", nameOf(what)}, {"so_far", of(what)}, {"detail", detail.substr(0, kDetailMost)}});
+    auto& loggedAt = loggedAt_[indexOf(counter)];
+    if (loggedAt != kNever && now - loggedAt < kMinLogInterval) return;
+    loggedAt = now;
+    log::warn(
+        "passed_over",
+        {{"kind", nameOf(counter)}, {"so_far", of(counter)}, {"detail", detail.substr(0, kMaxDetailLength)}});
 }
 
 std::vector<std::pair<std::string_view, std::uint64_t>> Counters::all() const {
-    std::vector<std::pair<std::string_view, std::uint64_t>> out;
-    for (std::size_t k = 0; k < kSize; ++k)
-        if (all_[k]) out.emplace_back(kNames[k], all_[k]);
-    return out;
+    std::vector<std::pair<std::string_view, std::uint64_t>> nonzero;
+    for (std::size_t index = 0; index < kSize; ++index)
+        if (values_[index] > 0) nonzero.emplace_back(kNames[index], values_[index]);
+    return nonzero;
 }
 
 } // namespace zincstack::net
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -1,4 +1,4 @@
-// What the planner has taken in, sent and answered, and what it passed over; printed on request and at exit.
+// The program's counters: what it received, sent and ignored. Logged on SIGUSR1 and at exit.
 #pragma once
 
 #include <array>
@@ -11,6 +11,7 @@
 
 namespace zincstack::net {
 
+/// In the order in which they are logged. End_ is their number.
 enum class Counter : std::uint8_t {
     Accepted,
     Closed,
@@ -70,26 +71,29 @@
     BrokenInvariant,
     End_
 };
-std::string_view nameOf(Counter what);
+/// The name under which the counter is logged.
+std::string_view nameOf(Counter counter);
 
 class Counters {
 public:
-    void add(Counter what, std::uint64_t many = 1) { all_[static_cast<std::size_t>(what)] += many; }
-    std::uint64_t of(Counter what) const { return all_[static_cast<std::size_t>(what)]; }
-    /// Counts what was passed over; at most one log line a second tells of each kind.
-    void recordIgnored(Counter what, std::string_view detail);
-    /// Asserted in debug builds, counted in release builds.
-    void checkInvariant(bool truth) {
-        assert(truth);
-        if (!truth) recordIgnored(Counter::BrokenInvariant, "");
+    void add(Counter counter, std::uint64_t amount = 1) { values_[indexOf(counter)] += amount; }
+    std::uint64_t of(Counter counter) const { return values_[indexOf(counter)]; }
+    /// Counts an input that is ignored. It is also logged with its detail, at most once a second for each counter.
+    void recordIgnored(Counter counter, std::string_view detail);
+    /// Asserts the condition in debug builds; counts a violation in release builds.
+    void checkInvariant(bool holds) {
+        assert(holds);
+        if (!holds) recordIgnored(Counter::BrokenInvariant, "");
     }
-    /// All that are not zero, by name.
+    /// The counters that are not zero, by name.
     std::vector<std::pair<std::string_view, std::uint64_t>> all() const;
 
 private:
     static constexpr std::size_t kSize = static_cast<std::size_t>(Counter::End_);
-    std::array<std::uint64_t, kSize> all_{};
-    std::array<std::chrono::steady_clock::time_point, kSize> toldAt_{};
+    static constexpr std::size_t indexOf(Counter counter) { return static_cast<std::size_t>(counter); }
+
+    std::array<std::uint64_t, kSize> values_{};
+    std::array<std::chrono::steady_clock::time_point, kSize> loggedAt_{};
 };
 
 } // namespace zincstack::net
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,4 @@
-// `1.2.3.4:80` as an endpoint.
+// Socket addresses as text: `1.2.3.4:80` or `[::1]:80`.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,8 +9,9 @@
 
 namespace zincstack::net {
 
+/// None where the text is no address with a port. Host names are not resolved.
 std::optional<boost::asio::ip::tcp::endpoint> parseAddress(std::string_view text);
-/// As address and port, in the form that is read.
-std::string textOf(const boost::asio::ip::tcp::endpoint& at);
+/// The address and port, as `parseAddress` reads them.
+std::string textOf(const boost::asio::ip::tcp::endpoint& endpoint);
 
 } // namespace zincstack::net
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -1,5 +1,5 @@
-// Buffers of one size, used again. What a connection holds beside its socket comes from here, so that the
-// bound on blocks bounds the memory of all peers together.
+// Memory blocks of one size that are reused. Connections take all of their buffers from a pool, so that its capacity
+// bounds the memory of all peers together.
 #pragma once
 
 #include <array>
@@ -13,11 +13,12 @@
 inline constexpr std::size_t kBlockBytes = 4 * 1024;
 using Block = std::array<char, kBlockBytes>;
 
+/// Allocates blocks on demand, up to a capacity, and keeps those that are returned. Must outlive its leases.
 class BufferPool {
 public:
-    explicit BufferPool(std::size_t blocksMost) : blocksMost_(blocksMost) {}
+    explicit BufferPool(std::size_t capacity) : capacity_(capacity) {}
 
-    /// Owns a block until it goes out of scope; the pool must outlive it.
+    /// Owns a block and returns it to the pool on destruction. May be empty.
     class Lease {
     public:
         Lease() = default;
@@ -29,9 +30,10 @@
             return *this;
         }
         ~Lease() {
-            if (block_) pool_->giveBack(std::move(block_));
+            if (block_) pool_->release(std::move(block_));
         }
         explicit operator bool() const { return block_ != nullptr; }
+        /// Only of a lease that is not empty.
         char* data() const { return block_->data(); }
 
     private:
@@ -39,25 +41,28 @@
         std::unique_ptr<Block> block_;
     };
 
-    /// Empty when all blocks are out.
+    /// An empty lease where all blocks are leased.
     Lease take() {
         if (free_.empty()) {
-            if (out_ >= blocksMost_) return {};
+            if (leased_ >= capacity_) return {};
             free_.push_back(std::make_unique<Block>());
         }
         auto block = std::move(free_.back());
         free_.pop_back();
-        ++out_;
+        ++leased_;
         return {this, std::move(block)};
     }
-    std::size_t out() const { return out_; }
+    /// How many blocks are leased.
+    std::size_t leased() const { return leased_; }
 
 private:
-    void giveBack(std::unique_ptr<Block> block) {
-        --out_;
+    void release(std::unique_ptr<Block> block) {
+        --leased_;
         free_.push_back(std::move(block));
     }
-    std::size_t blocksMost_, out_ = 0;
+
+    std::size_t capacity_;
+    std::size_t leased_ = 0;
     std::vector<std::unique_ptr<Block>> free_;
 };
 
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-asio::awaitable<error_code> connecting(asio::ip::tcp::socket& socket, asio::ip::tcp::endpoint at) {
+asio::awaitable<error_code> connect(asio::ip::tcp::socket& socket, asio::ip::tcp::endpoint endpoint) {
     error_code error;
-    co_await socket.async_connect(at, asio::redirect_error(asio::use_awaitable, error));
+    co_await socket.async_connect(endpoint, asio::redirect_error(asio::use_awaitable, error));
     co_return error;
 }
 
-asio::awaitable<error_code> readable(asio::ip::tcp::socket& socket) {
+asio::awaitable<error_code> waitUntilReadable(asio::ip::tcp::socket& socket) {
     error_code error;
     co_await socket.async_wait(asio::socket_base::wait_read,
                                asio::redirect_error(asio::use_awaitable, error));
@@ -29,13 +29,12 @@
 
 } // namespace
 
-/// Guards against a stall of this process in which both the connection and the end of its time have come: what is
-/// there counts, not which of the two is looked at first.
-asio::awaitable<error_code> connectTo(asio::ip::tcp::socket& socket, asio::ip::tcp::endpoint at,
-                                      Micros most) {
-    const auto outcome = co_await within(most, connecting(socket, at));
+asio::awaitable<error_code> connectTo(asio::ip::tcp::socket& socket, asio::ip::tcp::endpoint endpoint,
+                                      Micros timeout) {
+    const auto outcome = co_await withTimeout(timeout, connect(socket, endpoint));
     error_code error = outcome.value_or(error_code{});
     if (!outcome) {
+        // The process may have stalled so that both the connection and the timer were due: ask the socket.
         (void)socket.remote_endpoint(error);
         if (error) error = asio::error::timed_out;
     }
@@ -49,20 +48,19 @@
     co_return error;
 }
 
-/// The same guard: bytes that came in time are read though the time is over by now, and none that were read are
-/// lost with a wait that was given up.
 asio::awaitable<std::size_t> readPiece(asio::ip::tcp::socket& socket, const BufferPool::Lease& block,
-                                       std::chrono::steady_clock::time_point until, error_code& error) {
-    const auto left = std::chrono::ceil<Micros>(until - std::chrono::steady_clock::now());
-    const auto outcome = co_await within(std::max(left, Micros{0}), readable(socket));
+                                       std::chrono::steady_clock::time_point deadline, error_code& error) {
+    const auto remaining = std::chrono::ceil<Micros>(deadline - std::chrono::steady_clock::now());
+    const auto outcome = co_await withTimeout(std::max(remaining, Micros{0}), waitUntilReadable(socket));
     error = outcome.value_or(error_code{});
     if (error) co_return 0;
+    // Only the wait is cancelled by the timeout, never a read: no bytes are lost with it.
     socket.non_blocking(true, error);
     if (error) co_return 0;
-    const std::size_t got = socket.read_some(asio::buffer(block.data(), kBlockBytes), error);
+    const std::size_t received = socket.read_some(asio::buffer(block.data(), kBlockBytes), error);
     if (error == asio::error::would_block || error == asio::error::try_again)
         error = outcome ? error_code{} : error_code(asio::error::timed_out);
-    co_return got;
+    co_return received;
 }
 
 } // namespace zincstack::net
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -1,5 +1,4 @@
-// What the planner's own calls share: connecting, writing a request and reading a piece of the answer, each
-// with an error code and within its time.
+// Outgoing connections: connect, write a request, read a piece of the response, each with a bound on its time.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,15 +13,20 @@
 
 namespace zincstack::net {
 
-boost::asio::awaitable<boost::system::error_code> connectTo(boost::asio::ip::tcp::socket& socket,
-                                                            boost::asio::ip::tcp::endpoint at, Micros most);
+/// Connects within `timeout`; after that the error is timed_out. A connection that has come up by the time that a
+/// late timer is handled counts, however late the process handles it.
+boost::asio::awaitable<boost::system::error_code>
+connectTo(boost::asio::ip::tcp::socket& socket, boost::asio::ip::tcp::endpoint endpoint, Micros timeout);
+
 boost::asio::awaitable<boost::system::error_code> writeAll(boost::asio::ip::tcp::socket& socket,
                                                            const std::string& bytes);
-/// The bytes read into the block; an error at the end of the stream or once the time is over. The time is that of
-/// a whole answer: it does not start anew with each piece.
+
+/// Reads what has arrived into the block; the number of bytes. Sets `error` at the end of the stream, and to timed_out
+/// where nothing arrived by `deadline`. The deadline is that of a whole response, not of one piece; bytes that arrived
+/// before it are read even if the process comes to it later.
 boost::asio::awaitable<std::size_t> readPiece(boost::asio::ip::tcp::socket& socket,
                                               const BufferPool::Lease& block,
-                                              std::chrono::steady_clock::time_point until,
+                                              std::chrono::steady_clock::time_point deadline,
                                               boost::system::error_code& error);
 
 } // namespace zincstack::net
--- a/src/net/line_framer.h
+++ b/src/net/line_framer.h
@@ -1,10 +1,9 @@
-// Cuts a stream of bytes, fed in any pieces, into lines. What waits for its end lies in blocks of the pool.
+// Splits a byte stream that arrives in arbitrary pieces into lines.
 #pragma once
 
 #include <algorithm>
 #include <cstring>
 #include <functional>
-#include <span>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -13,78 +12,94 @@
 
 namespace zincstack::net {
 
-inline constexpr std::size_t kLineBytesMost = std::size_t{1} << 20;
+inline constexpr std::size_t kMaxLineBytes = std::size_t{1} << 20;
 
+/// Holds the unfinished line at the end of the stream, in blocks of a pool. Lines end with LF or CR LF.
 class LineFramer {
 public:
-    enum class Outcome { Going, Stopped, TooLong, NoRoom, Unreadable };
+    enum class Outcome {
+        Going,        ///< all bytes were taken
+        Stopped,      ///< the handler of lines returned false
+        TooLong,      ///< a line is longer than allowed
+        OutOfBuffers, ///< the pool has no block left for the unfinished line
+        Unreadable    ///< bytes that no text has
+    };
 
     explicit LineFramer(BufferPool& pool) : pool_(pool) {}
 
-    /// Calls `line` with each whole line of at most `most()` bytes, without its end, until that says no. After
-    /// another outcome than Going nothing can be framed any more.
-    Outcome feed(std::string_view bytes, const auto& most,
-                 const std::function<bool(std::string_view)>& line) {
+    /// Calls `handleLine` with each complete line, without its end, until that returns false. `maxBytes()` is the
+    /// longest line that is allowed at that point. After another outcome than Going the stream is unusable.
+    Outcome feed(std::string_view bytes, const auto& maxBytes,
+                 const std::function<bool(std::string_view)>& handleLine) {
         while (!bytes.empty()) {
             const auto end = bytes.find('\n');
             const auto piece = bytes.substr(0, end);
-            if (kept_ + piece.size() > most()) return Outcome::TooLong;
-            if (std::ranges::any_of(piece, noText)) return Outcome::Unreadable;
-            if (end == std::string_view::npos) return keep(piece);
+            if (unfinishedBytes_ + piece.size() > maxBytes()) return Outcome::TooLong;
+            if (std::ranges::any_of(piece, isNoText)) return Outcome::Unreadable;
+            if (end == std::string_view::npos) return append(piece);
             bytes.remove_prefix(end + 1);
-            if (kept_ == 0) {
-                if (!line(withoutReturn(piece))) return Outcome::Stopped;
-                continue;
-            }
-            if (const auto outcome = keep(piece); outcome != Outcome::Going) return outcome;
-            const std::string whole = joined();
-            blocks_.clear();
-            kept_ = 0;
-            if (!line(withoutReturn(whole))) return Outcome::Stopped;
+            const auto outcome = finishLine(piece, handleLine);
+            if (outcome != Outcome::Going) return outcome;
         }
         return Outcome::Going;
     }
-    /// How the line that waits for its end begins.
-    std::string_view begun() const {
-        if (kept_ == 0) return {};
-        return {blocks_.front().data(), std::min(kept_, kBlockBytes)};
+
+    /// The beginning of the unfinished line, as far as its first block holds it.
+    std::string_view unfinishedLine() const {
+        if (unfinishedBytes_ == 0) return {};
+        return {blocks_.front().data(), std::min(unfinishedBytes_, kBlockBytes)};
     }
 
 private:
-    static std::string_view withoutReturn(std::string_view text) {
+    static std::string_view withoutCarriageReturn(std::string_view text) {
         if (text.ends_with('\r')) text.remove_suffix(1);
         return text;
     }
+
     /// Control characters, and bytes that no text in UTF-8 has.
-    static bool noText(char one) {
-        const auto byte = static_cast<unsigned char>(one);
-        return (byte < 0x20 && one != '\r' && one != '\t') || byte == 0x7f || byte == 0xc0 || byte == 0xc1 ||
-               byte > 0xf4;
+    static bool isNoText(char character) {
+        const auto byte = static_cast<unsigned char>(character);
+        const bool isControl = (byte < 0x20 && character != '\r' && character != '\t') || byte == 0x7f;
+        return isControl || byte == 0xc0 || byte == 0xc1 || byte > 0xf4;
     }
-    Outcome keep(std::string_view piece) {
+
+    /// `lastPiece`: the rest of the line. A line that arrived in one piece is not copied.
+    Outcome finishLine(std::string_view lastPiece, const std::function<bool(std::string_view)>& handleLine) {
+        if (unfinishedBytes_ == 0)
+            return handleLine(withoutCarriageReturn(lastPiece)) ? Outcome::Going : Outcome::Stopped;
+        if (const auto outcome = append(lastPiece); outcome != Outcome::Going) return outcome;
+        const std::string line = joinBlocks();
+        blocks_.clear();
+        unfinishedBytes_ = 0;
+        return handleLine(withoutCarriageReturn(line)) ? Outcome::Going : Outcome::Stopped;
+    }
+
+    Outcome append(std::string_view piece) {
         while (!piece.empty()) {
-            const std::size_t at = kept_ % kBlockBytes;
-            if (at == 0) {
+            const std::size_t used = unfinishedBytes_ % kBlockBytes;
+            if (used == 0) {
                 blocks_.push_back(pool_.take());
-                if (!blocks_.back()) return Outcome::NoRoom;
+                if (!blocks_.back()) return Outcome::OutOfBuffers;
             }
-            const std::size_t part = std::min(piece.size(), kBlockBytes - at);
-            std::memcpy(blocks_.back().data() + at, piece.data(), part);
+            const std::size_t part = std::min(piece.size(), kBlockBytes - used);
+            std::memcpy(blocks_.back().data() + used, piece.data(), part);
             piece.remove_prefix(part);
-            kept_ += part;
+            unfinishedBytes_ += part;
         }
         return Outcome::Going;
     }
-    std::string joined() const {
-        std::string out;
-        out.reserve(kept_);
-        for (const auto& block : blocks_) out.append(block.data(), std::min(kBlockBytes, kept_ - out.size()));
-        return out;
+
+    std::string joinBlocks() const {
+        std::string line;
+        line.reserve(unfinishedBytes_);
+        for (const auto& block : blocks_)
+            line.append(block.data(), std::min(kBlockBytes, unfinishedBytes_ - line.size()));
+        return line;
     }
 
     BufferPool& pool_;
     std::vector<BufferPool::Lease> blocks_;
-    std::size_t kept_ = 0;
+    std::size_t unfinishedBytes_ = 0;
 };
 
 } // namespace zincstack::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -4,6 +4,8 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
+#include <utility>
+
 #include "net/rethrow.h"
 
 namespace zincstack::net {
@@ -13,32 +15,35 @@
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
-constexpr auto kPause = 50ms;       // before another try where the system can take nothing more
-constexpr auto kJoinWithin = 1s;    // what has not joined by then is no collector and no proxy
-constexpr auto kJoinIfFull = 100ms; // the same while others wait to be taken
+constexpr auto kAcceptRetryDelay = 50ms; // after an error of the system, mostly a lack of descriptors
+constexpr std::chrono::steady_clock::duration kJoinTimeout = 1s;          // ample for a proxy or a collector
+constexpr std::chrono::steady_clock::duration kJoinTimeoutIfFull = 100ms; // while others wait to be accepted
 
 } // namespace
 
-Listener::Listener(asio::io_context& io, const asio::ip::tcp::endpoint& at, std::size_t peersMost,
-                   std::size_t queueMost, Counters& counters, BufferPool& lines, BufferPool& pushes,
-                   MakePeer makePeer)
-    : acceptor_(io, at, true), room_(io), due_(io), peersMost_(peersMost), queueMost_(queueMost),
-      counters_(counters), pushes_(pushes), makePeer_(std::move(makePeer)), readInto_(lines.take()) {}
+Listener::Listener(asio::io_context& io, const asio::ip::tcp::endpoint& address, std::size_t maxPeers,
+                   std::size_t maxQueuedBytes, Counters& counters, BufferPool& lineBlocks,
+                   BufferPool& pushBlocks, MakePeer makePeer)
+    : acceptor_(io, address, true), acceptTimer_(io), joinTimer_(io), maxPeers_(maxPeers),
+      maxQueuedBytes_(maxQueuedBytes), counters_(counters), pushBlocks_(pushBlocks),
+      makePeer_(std::move(makePeer)), readBuffer_(lineBlocks.take()) {}
 
 void Listener::start() {
-    const auto run = [this](asio::awaitable<void> work) {
-        asio::co_spawn(acceptor_.get_executor(), std::move(work),
-                       [self = shared_from_this()](const std::exception_ptr& failure) { rethrow(failure); });
-    };
-    run(accept());
-    run(watchNewcomers());
+    spawn(accept());
+    spawn(enforceJoinDeadlines());
+}
+
+void Listener::spawn(asio::awaitable<void> work) {
+    asio::co_spawn(acceptor_.get_executor(), std::move(work),
+                   [self = shared_from_this()](const std::exception_ptr& failure) { rethrow(failure); });
 }
 
 void Listener::stop() {
     if (std::exchange(stopped_, true)) return;
     boost::system::error_code ignored;
     acceptor_.close(ignored);
-    for (auto* timer : {&room_, &due_}) timer->cancel();
+    acceptTimer_.cancel();
+    joinTimer_.cancel();
     for (const auto& peer : peers_) peer->end("the listener stops");
 }
 
@@ -48,55 +53,64 @@
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-/// Guards against peers that say nothing, half of something, or no more than a probe, and hold their places:
-/// each has its time to join, a shorter one where others wait. Proxies and collectors never give way.
-asio::awaitable<void> Listener::watchNewcomers() {
+/// Peers that send nothing, half a message or only a health check would hold their places for ever. Each has a time
+/// to identify itself, a shorter one while others wait to be accepted.
+asio::awaitable<void> Listener::enforceJoinDeadlines() {
     while (!stopped_) {
-        if (newcomers_.empty()) {
-            co_await sleep(due_, Steady::time_point::max());
+        if (unidentified_.empty()) {
+            co_await sleep(joinTimer_, Steady::time_point::max());
             continue;
         }
-        const auto& [since, weak] = newcomers_.front();
-        const auto due = since + (full() ? Steady::duration(kJoinIfFull) : kJoinWithin);
-        bool early = false;
-        if (const auto peer = weak.lock(); peer && peer->peer().isUnidentified()) {
-            early = Steady::now() < due;
-            if (!early) peer->joinNow();
-        }
-        if (early)
-            co_await sleep(due_, due);
+        const auto timeout = full() ? kJoinTimeoutIfFull : kJoinTimeout;
+        const auto deadline = unidentified_.front().acceptedAt + timeout;
+        if (settleOldest(deadline))
+            unidentified_.pop_front();
         else
-            newcomers_.pop_front();
+            co_await sleep(joinTimer_, deadline);
     }
 }
 
+/// False: the oldest unidentified peer has time left. A function of its own, so that the connection is not kept
+/// alive while the deadline is waited for.
+bool Listener::settleOldest(Steady::time_point deadline) {
+    const auto connection = unidentified_.front().connection.lock();
+    if (!connection || !connection->peer().isUnidentified()) return true;
+    if (Steady::now() < deadline) return false;
+    connection->expireJoinDeadline();
+    return true;
+}
+
 asio::awaitable<void> Listener::accept() {
     while (!stopped_) {
-        boost::system::error_code error;
         if (full()) {
             counters_.recordIgnored(Counter::RefusedFull, "peers wait to be taken");
-            due_.cancel(); // newcomers have less time now
-            co_await sleep(room_, Steady::time_point::max());
+            joinTimer_.cancel(); // the deadlines are earlier now
+            co_await sleep(acceptTimer_, Steady::time_point::max());
             continue;
         }
+        boost::system::error_code error;
         auto socket = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, error));
         if (stopped_) co_return;
         if (error) {
             counters_.recordIgnored(Counter::RefusedFull, error.message());
-            co_await sleep(room_, Steady::now() + kPause);
+            co_await sleep(acceptTimer_, Steady::now() + kAcceptRetryDelay);
             continue;
         }
-        counters_.add(Counter::Accepted);
-        const auto at =
-            peers_.insert(peers_.end(), std::make_shared<Connection>(std::move(socket), counters_, pushes_,
-                                                                     readInto_, queueMost_));
-        if (newcomers_.empty()) due_.cancel();
-        newcomers_.emplace_back(Steady::now(), *at);
-        (*at)->start(makePeer_(**at), [this, self = shared_from_this(), at] {
-            peers_.erase(at);
-            room_.cancel();
-        });
+        addPeer(std::move(socket));
     }
 }
 
+void Listener::addPeer(asio::ip::tcp::socket socket) {
+    counters_.add(Counter::Accepted);
+    const auto connection =
+        std::make_shared<Connection>(std::move(socket), counters_, pushBlocks_, readBuffer_, maxQueuedBytes_);
+    const auto position = peers_.insert(peers_.end(), connection);
+    if (unidentified_.empty()) joinTimer_.cancel(); // nobody was waited for
+    unidentified_.push_back({Steady::now(), connection});
+    connection->start(makePeer_(*connection), [this, self = shared_from_this(), position] {
+        peers_.erase(position);
+        acceptTimer_.cancel();
+    });
+}
+
 } // namespace zincstack::net
--- a/src/net/peer_protocol.h
+++ b/src/net/peer_protocol.h
@@ -1,24 +1,26 @@
-// What the driver of a connection needs of its peer's protocol: a state machine that is fed bytes.
+// The interface between a connection and the protocol that its peer speaks.
 #pragma once
 
 #include <string_view>
 
 namespace zincstack::net {
 
+/// A state machine that a connection feeds with bytes. Knows no socket.
 class PeerProtocol {
 public:
     virtual ~PeerProtocol() = default;
-    /// False: nothing more is taken on this connection.
+
+    /// Takes received bytes. False: the connection is to be closed and nothing more is fed.
     virtual bool feed(std::string_view bytes) = 0;
-    /// The time to join is over. False: it has not, and nothing more is taken.
+    /// The time to identify itself is over. False: the peer has not, and the connection is to be closed.
     virtual bool joinDeadlineExpired() = 0;
-    /// It has said nothing yet that makes it more than a connection.
+    /// Whether the peer has yet to say which kind of peer it is.
     virtual bool isUnidentified() const = 0;
-    /// All that was queued for it has been written.
+    /// Everything that was queued for the peer has been written.
     virtual void writeQueueDrained() {}
-    /// The connection has ended.
+    /// The connection is closed.
     virtual void connectionClosed() = 0;
-    /// Said before the close, as far as the system takes it at once; often nothing.
+    /// Bytes written before this side closes the connection, as far as the socket takes them at once; may be empty.
     virtual std::string_view farewell() const { return {}; }
 };
 
--- a/src/net/with_timeout.h
+++ b/src/net/with_timeout.h
@@ -1,4 +1,4 @@
-// Waits for an operation no longer than a span of time; the operation is cancelled after that.
+// A timeout for any awaitable operation.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,16 +15,16 @@
 
 namespace zincstack::net {
 
-/// The outcome, or none if it took too long.
+/// The result of the operation; none if the timeout came first, and the operation is cancelled then.
 template <class T>
-boost::asio::awaitable<std::optional<T>> within(Micros span, boost::asio::awaitable<T> work) {
+boost::asio::awaitable<std::optional<T>> withTimeout(Micros timeout, boost::asio::awaitable<T> operation) {
     using namespace boost::asio::experimental::awaitable_operators;
-    boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor, span);
+    boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor, timeout);
     boost::system::error_code ignored;
-    auto first =
-        co_await (std::move(work) ||
+    auto completed =
+        co_await (std::move(operation) ||
                   timer.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ignored)));
-    if (first.index() == 0) co_return std::move(std::get<0>(first));
+    if (completed.index() == 0) co_return std::move(std::get<0>(completed));
     co_return std::nullopt;
 }
 
--- a/src/platform/peer_session.cpp
+++ b/src/platform/peer_session.cpp
@@ -44,13 +44,11 @@
 
 bool PeerSession::feed(std::string_view bytes) {
     counters_.add(Counter::BytesIn, bytes.size());
-    const auto maxLineBytes = [this] {
-        return isUnidentified() ? kMaxUnidentifiedLineBytes : kLineBytesMost;
-    };
+    const auto maxLineBytes = [this] { return isUnidentified() ? kMaxUnidentifiedLineBytes : kMaxLineBytes; };
     switch (framer_.feed(bytes, maxLineBytes, [this](std::string_view line) { return handleLine(line); })) {
     case LineFramer::Outcome::Going: {
         // A line that can't become a message is not waited for.
-        const auto kind = framer_.begun().substr(0, framer_.begun().find_first_of(" \r"));
+        const auto kind = framer_.unfinishedLine().substr(0, framer_.unfinishedLine().find_first_of(" \r"));
         return beginsMessageKind(kind) || handleUnreadable(kind);
     }
     case LineFramer::Outcome::Stopped: return false;
@@ -58,7 +56,7 @@
     case LineFramer::Outcome::TooLong:
         counters_.recordIgnored(Counter::TooLong, "a line over its limit");
         return handleUnreadable("no end of a line");
-    case LineFramer::Outcome::NoRoom:
+    case LineFramer::Outcome::OutOfBuffers:
         counters_.recordIgnored(Counter::NoRoom, "no buffer is left for a line");
         return handleUnreadable("no room");
     }
--- a/src/platform/push_encoder.cpp
+++ b/src/platform/push_encoder.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Weights of one part, which keeps a line well below kLineBytesMost.
+/// Weights of one part, which keeps a line well below kMaxLineBytes.
 constexpr std::size_t kMaxWeightBytesPerPart = 512 * 1024;
 
 std::string formatNumber(double value) {
--- a/src/simwire/planner_instance.cpp
+++ b/src/simwire/planner_instance.cpp
@@ -7,9 +7,9 @@
 PlannerInstance::PlannerInstance(ReplyWriter& reply, std::uint32_t number, std::uint64_t seed,
                                  const config::StartSettings& settings)
     : reply_(reply), number_(number), sink_(reply, number), reportColumns_(settings.reportColumns),
-      planner_(makePlanner(
-          {seed, settings.fleet, settings.forwarders, settings.channel, settings.guards, settings.products},
-          sink_)) {}
+      planner_(makePlanner({seed, settings.fleet, settings.proxies, settings.controlChannel,
+                            settings.safetyLimits, settings.requestClasses},
+                           sink_)) {}
 
 void PlannerInstance::recordFailure(std::string_view what) {
     failed_ = true;
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -1,4 +1,4 @@
-// The command line, the operator's file, the log's lines, and what a person is told of a fault.
+// The command line, the operator's file, `zincstack check`, and the lines of the log.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -16,37 +16,42 @@
 
 using namespace std::chrono_literals;
 
-std::variant<command::Order, int> read(std::vector<const char*> words) {
-    words.insert(words.begin(), "zincstack");
-    testing::internal::CaptureStdout(), testing::internal::CaptureStderr();
-    auto out = command::read(static_cast<int>(words.size()), words.data());
-    testing::internal::GetCapturedStdout(), testing::internal::GetCapturedStderr();
-    return out;
+/// What is printed is captured, so that it does not stand among the results of the tests.
+std::variant<command::Command, int> parse(std::vector<const char*> arguments) {
+    arguments.insert(arguments.begin(), "zincstack");
+    testing::internal::CaptureStdout();
+    testing::internal::CaptureStderr();
+    auto parsed = command::parseCommandLine(static_cast<int>(arguments.size()), arguments.data());
+    testing::internal::GetCapturedStdout();
+    testing::internal::GetCapturedStderr();
+    return parsed;
 }
-template <class T>
-T orderOf(std::vector<const char*> words) {
-    const auto out = read(std::move(words));
-    return std::get<T>(std::get<command::Order>(out));
+
+template <class Options>
+Options optionsOf(std::vector<const char*> arguments) {
+    const auto parsed = parse(std::move(arguments));
+    return std::get<Options>(std::get<command::Command>(parsed));
 }
 
-TEST(CommandLine, RunsWithoutASubcommandAndReadsEachOne) {
-    EXPECT_EQ(orderOf<command::Run>({}).operatorFile, "");
-    EXPECT_EQ(orderOf<command::Run>({"--operator", "x.json"}).operatorFile, "x.json");
-    EXPECT_EQ(orderOf<command::Run>({"run", "--operator", "x.json"}).operatorFile, "x.json");
-    EXPECT_EQ(orderOf<command::Check>({"check", "a", "b"}).files, (std::vector<std::string>{"a", "b"}));
+TEST(CommandLine, RunsWithoutASubcommandAndParsesEachSubcommand) {
+    EXPECT_EQ(optionsOf<command::RunOptions>({}).operatorFile, "");
+    EXPECT_EQ(optionsOf<command::RunOptions>({"--operator", "x.json"}).operatorFile, "x.json");
+    EXPECT_EQ(optionsOf<command::RunOptions>({"run", "--operator", "x.json"}).operatorFile, "x.json");
+    EXPECT_EQ(optionsOf<command::CheckOptions>({"check", "a", "b"}).files,
+              (std::vector<std::string>{"a", "b"}));
     const auto watch =
-        orderOf<command::Subscribe>({"subscribe", "127.0.0.1:1", "127.0.0.1:2", "--zone", "a"});
+        optionsOf<command::SubscribeOptions>({"subscribe", "127.0.0.1:1", "127.0.0.1:2", "--zone", "a"});
     EXPECT_EQ(watch.planners.size(), 2U);
     EXPECT_FALSE(watch.proxy);
-    const auto joins = orderOf<command::Subscribe>(
+    const auto joins = optionsOf<command::SubscribeOptions>(
         {"subscribe", "127.0.0.1:1", "--zone", "a", "--proxy", "0", "--weight", "2.5", "--json"});
     EXPECT_EQ(joins.proxy, 0);
     EXPECT_EQ(joins.weight, 2.5);
     EXPECT_TRUE(joins.json);
 }
 
-TEST(CommandLine, WhatCantBeReadEndsWithTwoAndHelpWithNothing) {
-    for (const auto& words :
+TEST(CommandLine, UsageErrorsExitWithTwoAndHelpWithZero) {
+    for (const auto& arguments :
          std::vector<std::vector<const char*>>{{"fly"},
                                                {"check"},
                                                {"subscribe", "x"},
@@ -54,29 +59,30 @@
                                                {"run", "check"},
                                                {"subscribe", "x", "--zone", "a", "--proxy", "99999"},
                                                {"subscribe", "x", "--zone", "a", "--weight", "1"}})
-        EXPECT_EQ(std::get<int>(read(words)), 2) << words[0];
-    EXPECT_EQ(std::get<int>(read({"--help"})), 0);
-    EXPECT_EQ(std::get<int>(read({"--version"})), 0);
+        EXPECT_EQ(std::get<int>(parse(arguments)), 2) << arguments[0];
+    EXPECT_EQ(std::get<int>(parse({"--help"})), 0);
+    EXPECT_EQ(std::get<int>(parse({"--version"})), 0);
 }
 
-std::string placesOf(std::string_view text) {
-    std::string out;
-    for (const auto& one : config::findOperatorConfigErrors(text))
-        out += (out.empty() ? "" : " ") + one.pointer;
-    return out;
+/// The places of all errors, in one line.
+std::string errorPlaces(std::string_view text) {
+    std::string places;
+    for (const auto& error : config::findOperatorConfigErrors(text))
+        places += (places.empty() ? "" : " ") + error.pointer;
+    return places;
 }
 
-TEST(OperatorFile, EveryFaultIsToldByItsPlace) {
-    EXPECT_EQ(placesOf(R"({"log":{"format":"xml"},"channel":{"listen":"x","subscribers":0,"other":1}})"),
+TEST(OperatorFile, EveryErrorIsReportedWithItsPlace) {
+    EXPECT_EQ(errorPlaces(R"({"log":{"format":"xml"},"channel":{"listen":"x","subscribers":0,"other":1}})"),
               "/channel /channel/listen /channel/subscribers /log/format");
-    EXPECT_EQ(placesOf(R"({"channel":{}})"), "/channel");
-    EXPECT_EQ(placesOf(R"({"channel":{"listen":"300.0.0.1:1","lease_s":1}})"),
+    EXPECT_EQ(errorPlaces(R"({"channel":{}})"), "/channel");
+    EXPECT_EQ(errorPlaces(R"({"channel":{"listen":"300.0.0.1:1","lease_s":1}})"),
               "/channel/listen /channel/lease_s");
-    EXPECT_EQ(placesOf(R"({"channel":{"listen":"127.0.0.1:1","beat_s":4}})"), "/channel/lease_s");
-    EXPECT_EQ(placesOf(R"({"later":1})"), "");
+    EXPECT_EQ(errorPlaces(R"({"channel":{"listen":"127.0.0.1:1","beat_s":4}})"), "/channel/lease_s");
+    EXPECT_EQ(errorPlaces(R"({"later":1})"), "");
     ASSERT_EQ(config::findOperatorConfigErrors(R"({"later":1})").size(), 1U);
-    EXPECT_NE(config::findOperatorConfigErrors("{").at(0).what.find("offset 2"), std::string::npos);
-    EXPECT_EQ(placesOf("{}"), "");
+    EXPECT_NE(config::findOperatorConfigErrors("{").at(0).message.find("offset 2"), std::string::npos);
+    EXPECT_EQ(errorPlaces("{}"), "");
     EXPECT_TRUE(config::findOperatorConfigErrors("{}").empty());
     try {
         config::readOperatorConfig(R"({"log":{"level":3}})");
@@ -85,19 +91,19 @@
 }
 
 TEST(OperatorFile, AbsentPartsAreOffAndTheRestIsAsWritten) {
-    EXPECT_FALSE(config::readOperatorConfig("{}").channel);
-    EXPECT_FALSE(config::loadOperatorConfig("").channel);
+    EXPECT_FALSE(config::readOperatorConfig("{}").pubsub);
+    EXPECT_FALSE(config::loadOperatorConfig("").pubsub);
     EXPECT_EQ(config::readOperatorConfig("{}").log, config::LogConfig{});
     const auto read = config::readOperatorConfig(
         R"({"log":{"format":"json","level":"warn"},"channel":{"listen":"127.0.0.1:9","beat_s":0.25,"subscribers":7}})");
     EXPECT_TRUE(read.log.json);
-    EXPECT_EQ(read.log.least, 2);
-    EXPECT_EQ(read.channel->heartbeatInterval, 250ms);
-    EXPECT_EQ(read.channel->subscribers, 7U);
-    EXPECT_EQ(read.channel->leaseDuration, config::PubsubConfig{}.leaseDuration);
+    EXPECT_EQ(read.log.minLevel, log::Level::Warn);
+    EXPECT_EQ(read.pubsub->heartbeatInterval, 250ms);
+    EXPECT_EQ(read.pubsub->maxSubscribers, 7U);
+    EXPECT_EQ(read.pubsub->leaseDuration, config::PubsubConfig{}.leaseDuration);
 }
 
-TEST(CheckCommand, TellsFileAndPlaceOfEachFaultAndTheExitCode) {
+TEST(CheckCommand, PrintsFileAndPlaceOfEachErrorAndReturnsTheExitCode) {
     const auto folder =
         std::filesystem::temp_directory_path() / ("zincstack-check-" + std::to_string(getpid()));
     std::filesystem::create_directories(folder);
@@ -105,8 +111,9 @@
         std::ofstream(folder / name) << text;
         return (folder / name).string();
     };
-    const std::string good = write("good.json", "{}"), bad = write("bad.json", R"({"log":1})"),
-                      start = write("start.json", R"({"name":"n","settings":{"Zones":[]}})");
+    const std::string good = write("good.json", "{}");
+    const std::string bad = write("bad.json", R"({"log":1})");
+    const std::string start = write("start.json", R"({"name":"n","settings":{"Zones":[]}})");
     std::ostringstream out;
     EXPECT_EQ(command::check({{good}}, out), 0);
     EXPECT_EQ(out.str(), good + ": can be used\n");
@@ -117,12 +124,12 @@
     std::filesystem::remove_all(folder);
 }
 
-TEST(LogLines, AreWordsForPeopleAndAnObjectForPrograms) {
+TEST(LogLines, AreTextForPeopleAndAnObjectForPrograms) {
     const log::Fields fields{
         {"planner", "n 1"}, {"count", 3U}, {"part", 0.5}, {"on", true}, {"odd", "a=\"\xff\""}};
-    EXPECT_EQ(log::lineOf(log::Format::Text, log::Level::Info, "up", fields),
+    EXPECT_EQ(log::formatLine(log::Format::Text, log::Level::Info, "up", fields),
               "up planner=\"n 1\" count=3 part=0.5 on=true odd=\"a=\\\"\xef\xbf\xbd\\\"\"");
-    const auto all = json::read("{" + log::lineOf(log::Format::Json, log::Level::Warn, "up", fields));
+    const auto all = json::read("{" + log::formatLine(log::Format::Json, log::Level::Warn, "up", fields));
     EXPECT_EQ(all["event"], "up");
     EXPECT_EQ(all["level"], "warning");
     EXPECT_EQ(all["planner"], "n 1");
--- a/tests/discovery_watch_test.cpp
+++ b/tests/discovery_watch_test.cpp
@@ -44,7 +44,7 @@
     const std::vector<std::pair<EndpointListUpdate, std::size_t>> expected{{EndpointListUpdate::Snapshot, 1},
                                                                            {EndpointListUpdate::Delta, 2}};
     EXPECT_EQ(notified, expected);
-    watch.lost(); // it continues from what it knows
+    watch.connectionLost(); // it continues from what it knows
     EXPECT_NE(watch.connected().find("index=43"), std::string::npos);
 }
 
@@ -91,9 +91,9 @@
 /// It is noticed, and a new request can be answered, before what the dead watch missed counts as notified.
 TEST_F(DiscoveryWatchTest, GivesUpADeadWatchWithinTheNotificationDeadline) {
     watch.connected();
-    EXPECT_LE(watch.patience(), 2s);
+    EXPECT_LE(watch.responseTimeout(), 2s);
     watch.feed(responseWith(kSnapshot));
-    EXPECT_LE(watch.patience() + 1500ms, 6s);
+    EXPECT_LE(watch.responseTimeout() + 1500ms, 6s);
 }
 
 } // namespace
--- a/tests/incident_test.cpp
+++ b/tests/incident_test.cpp
@@ -1,6 +1,6 @@
 // The incident of docs/incidents/2026-12-backlog-drain.md on the built planner: proxies on loopback sockets that
 // acknowledge late, never, or end. The planner's own timeouts mark the time, by its connections to discovery.
-#include "daemon.h"
+#include "planner_process.h"
 
 #include <deque>
 #include <set>
@@ -27,7 +27,7 @@
     std::string list;
     for (int k = first; k < end; ++k) {
         if (!list.empty()) list += ",";
-        list += member("s-" + std::to_string(k), k < firstReady ? "Terminating" : "Ready");
+        list += listEntry("s-" + std::to_string(k), k < firstReady ? "Terminating" : "Ready");
     }
     return list;
 }
@@ -51,16 +51,16 @@
     return isExcluded || isReplaced || isRemoved;
 }
 
-struct IncidentTest : Daemon {
+struct IncidentTest : PlannerProcess {
     /// A proxy's stream, which counts the lines that it is sent.
     struct Proxy {
-        Peer peer;
+        TestConnection peer;
         int number;
         double lines = 0;
 
         void join() { peer.write("hello proxy=" + std::to_string(number) + " zone=a weight=9 fresh=0\r\n"); }
         std::string readLine() {
-            const std::string line = peer.until("\r\n");
+            const std::string line = peer.readUntil("\r\n");
             if (line.starts_with("push")) lines += countPartLines(line);
             return line;
         }
@@ -85,22 +85,22 @@
     };
 
     std::uint16_t startIncident() {
-        terms = kIncidentSettings;
-        return startAnywhere();
+        settings = kIncidentSettings;
+        return startAtFreePort();
     }
     std::deque<Proxy> joinProxies(std::uint16_t port, int first, int end) {
         std::deque<Proxy> proxies;
         for (int k = first; k < end; ++k) {
-            proxies.push_back({dial(port), k});
+            proxies.push_back({connect(port), k});
             proxies.back().join();
         }
         return proxies;
     }
     /// The planner's next connection to discovery. It gives up the one before some 3.5 s after its request.
-    Peer acceptWatch() {
-        Peer watch{tcp::socket(io), {}};
+    TestConnection acceptWatch() {
+        TestConnection watch = unconnected();
         discovery.accept(watch.socket);
-        watch.until("\r\n\r\n");
+        watch.readUntil("\r\n\r\n");
         return watch;
     }
 };
@@ -111,11 +111,11 @@
     const std::uint16_t port = startIncident();
     std::deque<Proxy> proxies = joinProxies(port, 0, 60);
     for (int round = 0; round < 5; ++round) { // each longer than 3 s
-        Peer watch = acceptWatch();
-        watch.write(answer(2 + round, true, endpointList(0, 4 * round, kEndpointCount + 4 * round)));
-        watch.until("\r\n\r\n"); // it continues to watch, and receives nothing more
+        TestConnection watch = acceptWatch();
+        watch.write(listResponse(2 + round, true, endpointList(0, 4 * round, kEndpointCount + 4 * round)));
+        watch.readUntil("\r\n\r\n"); // it continues to watch, and receives nothing more
         boost::system::error_code end;
-        asio::read(watch.socket, asio::dynamic_buffer(watch.held), end);
+        asio::read(watch.socket, asio::dynamic_buffer(watch.received), end);
         EXPECT_EQ(end, asio::error::eof); // it has given up the watch
     }
     double unacknowledgedLines = 0;
@@ -131,28 +131,28 @@
 /// a drain meanwhile (294 times in the incident's first replay, the first 9.7 s late).
 TEST_F(IncidentTest, ADrainIsAnnouncedWhileLinesOfEndedStreamsAreUnacknowledged) {
     const std::uint16_t port = startIncident();
-    Peer watch = acceptWatch();
-    watch.write(answer(2, true, endpointList(0, 0, kEndpointCount)));
-    watch.until("\r\n\r\n");
+    TestConnection watch = acceptWatch();
+    watch.write(listResponse(2, true, endpointList(0, 0, kEndpointCount)));
+    watch.readUntil("\r\n\r\n");
     {
         std::deque<Proxy> leaving = joinProxies(port, 0, 60);
         for (Proxy& proxy : leaving) proxy.peer.write("probe\r\n");
-        for (Proxy& proxy : leaving) proxy.peer.lineWith("alive");
-        watch.write(answer(
+        for (Proxy& proxy : leaving) proxy.peer.readLineWith("alive");
+        watch.write(listResponse(
             3, false, endpointList(0, 1, 1))); // one drains: all are notified, as far as there is capacity
-        watch.until("\r\n\r\n");
+        watch.readUntil("\r\n\r\n");
         for (int k = 0; k < 5; ++k) // some batches pass
             for (Proxy& proxy : leaving) proxy.readAll();
     }
     std::deque<Proxy> staying = joinProxies(port, 60, 80);
-    watch.write(answer(4, false, endpointList(1, 2, 2)));
-    watch.until("\r\n\r\n");
+    watch.write(listResponse(4, false, endpointList(1, 2, 2)));
+    watch.readUntil("\r\n\r\n");
 
     // Each has to stop using s-1 before the planner gives up this watch.
     discovery.non_blocking(true);
     std::set<int> notNotified;
     for (const Proxy& proxy : staying) notNotified.insert(proxy.number);
-    Peer nextWatch{tcp::socket(io), {}};
+    TestConnection nextWatch = unconnected();
     boost::system::error_code noConnection;
     while (!notNotified.empty()) {
         discovery.accept(nextWatch.socket, noConnection);
--- a/tests/line_framer_test.cpp
+++ b/tests/line_framer_test.cpp
@@ -12,7 +12,7 @@
 namespace zincstack::net {
 namespace {
 
-constexpr auto maxLineBytes = [] { return kLineBytesMost; };
+constexpr auto maxLineBytes = [] { return kMaxLineBytes; };
 
 RC_GTEST_PROP(LineFramerTest, LinesDoNotDependOnHowTheInputIsCut, ()) {
     BufferPool pool(8);
@@ -32,7 +32,7 @@
         RC_ASSERT(framer.feed(piece, maxLineBytes, handleLine) == LineFramer::Outcome::Going);
     });
     RC_ASSERT(framed == expected);
-    RC_ASSERT(pool.out() == 1U);
+    RC_ASSERT(pool.leased() == 1U);
 }
 
 TEST(LineFramerTest, RejectsAnEndlessLineAndReturnsItsBuffers) {
@@ -47,8 +47,8 @@
         return last;
     };
     EXPECT_EQ(outcome(pool), LineFramer::Outcome::TooLong);
-    EXPECT_EQ(outcome(small), LineFramer::Outcome::NoRoom);
-    EXPECT_EQ(pool.out() + small.out(), 0U);
+    EXPECT_EQ(outcome(small), LineFramer::Outcome::OutOfBuffers);
+    EXPECT_EQ(pool.leased() + small.leased(), 0U);
 }
 
 } // namespace
--- a/tests/start_file_test.cpp
+++ b/tests/start_file_test.cpp
@@ -7,7 +7,7 @@
 #include "config/start_file.h"
 #include "input_error_text.h"
 
-namespace zincstack::net {
+namespace zincstack::config {
 namespace {
 
 constexpr std::string_view kStartFile =
@@ -16,20 +16,20 @@
     "Extra":{"ZoneBound":[false,true]},"Nothing":null}})";
 
 TEST(StartFileTest, FlattensNestedSettingsAndNamesMissingFields) {
-    const StartFile startFile = readStartFile(kStartFile);
+    const StartFile startFile = parseStartFile(kStartFile);
     EXPECT_EQ(startFile.seed, 0x8c1f30d27a5be964U);
-    EXPECT_EQ(startFile.sockets, 512U);
-    const config::FlatSettings expected{{"Zones", "a,b_c"},      {"Classes.count", "2"},
-                                        {"Classes.0.Name", "x"}, {"Classes.0.AimS", "1.0"},
-                                        {"Classes.1.Name", "y"}, {"Extra.ZoneBound", "false,true"}};
-    EXPECT_EQ(startFile.flat, expected);
+    EXPECT_EQ(startFile.maxDescriptors, 512U);
+    const FlatSettings expected{{"Zones", "a,b_c"},      {"Classes.count", "2"},
+                                {"Classes.0.Name", "x"}, {"Classes.0.AimS", "1.0"},
+                                {"Classes.1.Name", "y"}, {"Extra.ZoneBound", "false,true"}};
+    EXPECT_EQ(startFile.settings, expected);
     for (const std::string_view field : {"name", "listen", "discovery", "seed", "settings"}) {
         std::string text(kStartFile);
         text.replace(text.find(field), field.size(), "other");
-        EXPECT_NE(tests::inputErrorOf([&] { readStartFile(text); }).find("field " + std::string(field)),
+        EXPECT_NE(tests::inputErrorOf([&] { parseStartFile(text); }).find("field " + std::string(field)),
                   std::string::npos);
     }
 }
 
 } // namespace
-} // namespace zincstack::net
+} // namespace zincstack::config
--- a/tests/start_settings_test.cpp
+++ b/tests/start_settings_test.cpp
@@ -20,7 +20,7 @@
 
 TEST(StartSettings, SettingsAreReadAndErrorsNameTheKey) {
     const auto start = readStartText(kStartText);
-    EXPECT_EQ(start.products.at(0).latencyObjective, Micros(1'000'000));
+    EXPECT_EQ(start.requestClasses.at(0).latencyObjective, Micros(1'000'000));
     EXPECT_EQ(start.fleet.zoneCount, 2);
     const auto errorAfter = [](std::string_view from, std::string_view to) -> std::string {
         std::string text(kStartText);
@@ -33,10 +33,10 @@
     EXPECT_NE(errorAfter("Classes.count=1", "Classes.count=0").find("Classes.count"), std::string::npos);
     std::string unusual(kStartText);
     unusual.replace(unusual.find("retryable"), 9, "sometimes");
-    EXPECT_EQ(readStartText(unusual).products.at(0).idempotency, Idempotency::NonIdempotent);
+    EXPECT_EQ(readStartText(unusual).requestClasses.at(0).idempotency, Idempotency::NonIdempotent);
     EXPECT_EQ(readStartText(unusual).notices.size(), 1U);
     unusual.erase(unusual.find("Classes.0.Effect="), std::string_view("Classes.0.Effect=sometimes\n").size());
-    EXPECT_EQ(readStartText(unusual).products.at(0).idempotency,
+    EXPECT_EQ(readStartText(unusual).requestClasses.at(0).idempotency,
               Idempotency::NonIdempotent); // absent: the same
     EXPECT_EQ(readStartText(unusual).notices.size(), 1U);
 }
