--- a/src/planner/health_monitor.h
+++ b/src/planner/health_monitor.h
@@ -18,8 +18,7 @@
 public:
     HealthMonitor(EndpointRegistry& endpoints, RoutingUpdateSink& sink, const FleetConfig& fleet,
                   const SafetyLimits& safetyLimits, Micros shortestLatencyObjective, std::mt19937 random)
-        : safety(safetyLimits), slowStart_(endpoints, safetyLimits),
-          outliers_(endpoints, slowStart_, sink, fleet, safetyLimits),
+        : slowStart_(endpoints, safetyLimits), outliers_(endpoints, slowStart_, sink, fleet, safetyLimits),
           checks_(endpoints, outliers_, sink, fleet.probingAllowed, shortestLatencyObjective, random) {}
 
     ~HealthMonitor() = default;
@@ -44,8 +43,6 @@
     }
     const FleetLoad& fleetLoad() const { return outliers_.fleetLoad(); }
 
-    const SafetyLimits safety;
-
 private:
     SlowStart slowStart_;
     OutlierDetector outliers_;
--- a/src/planner/update_scheduler.cpp
+++ b/src/planner/update_scheduler.cpp
@@ -5,7 +5,6 @@
 #include <string>
 #include <utility>
 
-#include "planner/health_monitor.h"
 #include "planner/transition_table.h"
 
 namespace zincstack {
--- a/tests/pubsub_service_test.cpp
+++ b/tests/pubsub_service_test.cpp
@@ -10,6 +10,7 @@
 #include <random>
 #include <set>
 
+#include "capturing_stream.h"
 #include "client/subscription_client.h"
 #include "engine/batch_runner.h"
 #include "platform/input_translator.h"
@@ -217,16 +218,7 @@
 
 /// A proxy that has joined over both transports is served by the newest session alone.
 TEST_F(PubsubServiceTest, AProxyOnBothTransportsIsServedByItsNewestSession) {
-    struct PlatformReader : net::PushStream {
-        std::string received;
-        bool wasReplaced = false;
-        bool push(std::string_view bytes) override {
-            received += bytes;
-            return true;
-        }
-        bool idle() const override { return true; }
-        void replaced() override { wasReplaced = true; }
-    } reader;
+    tests::CapturingStream reader;
     updateEndpoints(EndpointListUpdate::Snapshot, 0, 4, "Ready");
     net::PeerSession session(inputTranslator, counters, bufferPool, reader, [] {});
     session.feed("hello proxy=1 zone=a weight=5 fresh=1\r\n");
@@ -245,7 +237,7 @@
         1);
     EXPECT_EQ(reader.received.size(), receivedBytes);
     // And back: the platform's session takes over, and the channel's is told why it ends.
-    PlatformReader second;
+    tests::CapturingStream second;
     net::PeerSession again(inputTranslator, counters, bufferPool, second, [] {});
     again.feed("hello proxy=1 zone=a weight=5 fresh=0\r\n");
     runUntil([&] { return clients[0]->subscription().disconnectNotice().has_value(); },
