--- a/src/planner/capacity_ledger.cpp
+++ b/src/planner/capacity_ledger.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Estimated capacity of an endpoint over its share of the demand. The paper knows the capacities of its
-/// links.
-constexpr double kHeadroom = 1.2;
+/// Ratio of an endpoint's estimated capacity to its share of the demand. An estimate is needed because the
+/// capacities of endpoints are unknown, unlike those of the links in the paper.
+constexpr double kCapacityHeadroom = 1.2;
 
-/// Listed weight of the endpoints that have served requests, on average; 0 where none has.
-double meanWeightOfReporting(const EndpointRegistry& endpoints) {
+/// Mean listed weight of the in-service endpoints that have served requests; 0 if there are none.
+double meanListedWeightOfReporting(const EndpointRegistry& endpoints) {
     double weight = 0;
     double count = 0;
     for (EndpointIndex index = 0; index < endpoints.size(); ++index) {
@@ -28,17 +28,17 @@
 
 CapacityLedger::CapacityLedger(const EndpointRegistry& endpoints, double totalDemand)
     : capacity_(endpoints.size(), 0), load_(endpoints.size(), 0) {
-    const double meanWeight = meanWeightOfReporting(endpoints);
+    const double meanWeight = meanListedWeightOfReporting(endpoints);
     for (EndpointIndex index = 0; index < endpoints.size(); ++index) {
-        // The listed weight of an endpoint that has served no request yet proves nothing: it counts as
-        // average.
-        const bool trusted = endpoints.hasReported[index] || meanWeight <= 0;
-        const double correction = trusted ? 1 : meanWeight / endpoints.listedWeight[index];
+        // The listed weight of an endpoint that has not served a request yet is not trusted: the mean weight
+        // takes its place.
+        const bool isTrusted = endpoints.hasReported[index] || meanWeight <= 0;
+        const double correction = isTrusted ? 1 : meanWeight / endpoints.listedWeight[index];
         capacity_[index] = targetWeight(endpoints, index) * correction;
     }
     const double totalWeight = std::accumulate(capacity_.begin(), capacity_.end(), 0.0);
     for (double& capacity : capacity_)
-        capacity = totalWeight > 0 ? kHeadroom * totalDemand * capacity / totalWeight : 0;
+        capacity = totalWeight > 0 ? kCapacityHeadroom * totalDemand * capacity / totalWeight : 0;
 }
 
 } // namespace zincstack
--- a/src/planner/capacity_ledger.h
+++ b/src/planner/capacity_ledger.h
@@ -1,4 +1,4 @@
-// What each endpoint can carry and what it already carries: the resources of the paper's dependency graph.
+// Capacity and load of each endpoint: the resource nodes of the dependency graph in the Coeus paper.
 #pragma once
 
 #include <vector>
@@ -7,16 +7,16 @@
 
 namespace zincstack {
 
-/// Requests a second, by endpoint. Lives for one step of the update scheduler.
+/// Tracks capacity and load per endpoint, in requests per second, during one step of the update scheduler.
 class CapacityLedger {
 public:
-    /// Capacity is not known: it is estimated as the endpoint's share, by weight, of the total demand, with
-    /// some headroom.
+    /// The endpoints' capacities are unknown. Each is estimated as the endpoint's share, by weight, of
+    /// `totalDemand` (requests per second), plus some headroom.
     CapacityLedger(const EndpointRegistry& endpoints, double totalDemand);
 
-    /// Reserves capacity, past the endpoint's limit if need be.
+    /// Adds `rate` to the endpoint's load, even beyond its capacity.
     void reserve(EndpointIndex index, double rate) { load_[index] += rate; }
-    /// Negative: the endpoint carries more than its capacity.
+    /// Residual capacity; negative if the endpoint's load exceeds its capacity.
     double residual(EndpointIndex index) const { return capacity_[index] - load_[index]; }
 
 private:
--- a/src/planner/transition_table.h
+++ b/src/planner/transition_table.h
@@ -1,7 +1,8 @@
-// State machines as tables, so that all states and what ends them can be read at a glance.
+// State machines as transition tables, so that all states and transitions are visible in one place.
 //
-// A table is an array of `Transition` rows. The first row whose state and input apply is taken; a row whose state is
-// the enumerator `Any` applies in every state, so every state enumeration has one. No state is kept here.
+// A transition table is an array of `Transition` rows. The first row whose state and input match applies. A
+// row whose state is the enumerator `Any` matches every state, so every state enumeration must have one. The
+// caller keeps the current state.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +10,7 @@
 
 namespace zincstack {
 
-/// One row: in `state`, `input` leads to the state `next` and to the action `effect`.
+/// One row of a transition table: in `state`, `input` leads to the state `next` and the action `effect`.
 template <class State, class Input, class Effect>
 struct Transition {
     State state;
@@ -18,12 +19,13 @@
     Effect effect;
 };
 
-/// The first row that applies in `state` and whose input satisfies `holds`; null if there is none.
-const auto* findTransition(const auto& rows, auto state, const auto& holds) {
-    const auto applies = [&](const auto& row) {
-        return (row.state == state || row.state == decltype(state)::Any) && holds(row.input);
+/// Returns the first row that matches `state` and whose input satisfies the predicate `hasOccurred`, or null
+/// if there is none.
+const auto* findTransition(const auto& rows, auto state, const auto& hasOccurred) {
+    const auto matches = [&](const auto& row) {
+        return (row.state == state || row.state == decltype(state)::Any) && hasOccurred(row.input);
     };
-    const auto found = std::find_if(std::begin(rows), std::end(rows), applies);
+    const auto found = std::find_if(std::begin(rows), std::end(rows), matches);
     return found == std::end(rows) ? nullptr : &*found;
 }
 
--- a/src/planner/update_scheduler.cpp
+++ b/src/planner/update_scheduler.cpp
@@ -13,16 +13,17 @@
 
 using namespace std::chrono_literals;
 
-/// A step ends after this even if acknowledgements are missing: a proxy that hangs must not stop all updates.
+/// A step ends after this time even if acknowledgements are missing, so that a proxy that hangs can't block
+/// all updates.
 constexpr Micros kMaxStepTime = 2s;
 
-/// Above any fraction of a rate that can fit.
+/// Fitting fraction of an operation without blocked additions; that of a blocked addition is below 1.
 constexpr double kNothingBlocked = 2;
 
 enum class RoundEvent : std::uint8_t {
     ChangesPending,
     WindowElapsed,
-    AcknowledgedWithChanges, ///< the step is acknowledged, and changes are pending
+    AcknowledgedWithChanges, ///< the step is acknowledged and further changes are pending
     Acknowledged,
 };
 enum class RoundAction : std::uint8_t { OpenWindow, SendStep, EndRound };
@@ -44,7 +45,8 @@
     while (mayContinue) mayContinue = takeTransition(now);
 }
 
-/// False if no transition applies, or a step was sent: nothing can follow before its acknowledgement.
+/// Takes the transition that applies. Returns false if none applies or if a step was sent, since the next
+/// transition has to wait for its acknowledgement.
 bool UpdateScheduler::takeTransition(Micros now) {
     const auto hasOccurred = [&](RoundEvent event) {
         switch (event) {
@@ -96,7 +98,7 @@
     if (isDeadlocked) breakDeadlock(fit.leastLoss);
 }
 
-/// The dependency graph, its operations merged as by Algorithm 3: one for each full table.
+/// Builds the nodes of the dependency graph: one operation per full table, merged as in Algorithm 3.
 std::vector<UpdateScheduler::PendingOperation> UpdateScheduler::findPendingOperations() const {
     std::vector<PendingOperation> operations;
     for (PlannedTable& table : routing_.tables)
@@ -120,7 +122,8 @@
     return operation;
 }
 
-/// The resources of the graph: what endpoints can carry, and what the tables bring them before this step.
+/// Builds the resource nodes of the graph: the endpoints' capacities, and the load that the installed tables
+/// bring to them before this step.
 CapacityLedger UpdateScheduler::makeCapacityLedger(const std::vector<PendingOperation>& operations) const {
     double totalDemand = 0;
     for (const PendingOperation& operation : operations) totalDemand += operation.demand;
@@ -131,8 +134,9 @@
     return ledger;
 }
 
-/// Releases, the first part of Algorithm 5, lines 3-11: removals that depend on nothing: of tables without
-/// additions or without demand, and of endpoints out of service. True if one was ordered.
+/// Orders the releases (first part of Algorithm 5, lines 3-11): removals without dependencies, which are
+/// those of tables without additions or without demand, and those of endpoints out of service. Returns true
+/// if at least one was ordered.
 bool UpdateScheduler::orderReleases(const std::vector<PendingOperation>& operations) {
     bool hasProgress = false;
     for (const PendingOperation& operation : operations) {
@@ -145,15 +149,15 @@
     return hasProgress;
 }
 
-/// Operations whose completion releases most endpoints come first: the paper's nodes with most out-edges.
-/// Ties keep the order of the tables.
+/// Sorts the operations by the number of endpoints that they release, largest first: the paper's nodes with
+/// most out-edges. Ties keep the order of the tables.
 void UpdateScheduler::rankByReleases(std::vector<PendingOperation>& operations) {
     std::ranges::stable_sort(operations, std::ranges::greater{},
                              [](const PendingOperation& operation) { return operation.removals.size(); });
 }
 
-/// The fit check, the second part of Algorithm 5, lines 3-11: orders additions while their endpoints have
-/// capacity left.
+/// The fit check (second part of Algorithm 5, lines 3-11): orders additions while their endpoints have
+/// residual capacity.
 UpdateScheduler::FitCheck
 UpdateScheduler::orderFittingAdditions(const std::vector<PendingOperation>& operations,
                                        CapacityLedger& ledger) {
@@ -167,8 +171,8 @@
     double fittingFraction = kNothingBlocked;
     double blockedRate = 0;
     for (const EndpointIndex index : operation.additions) {
-        // The additions share the demand: each counts with its part of the table as it will be after all of
-        // them.
+        // The additions share the table's demand, so each one counts with its weight fraction after all
+        // additions are installed.
         const double fractionAfter = routing_.targetWeightIn(*operation.table, index) /
                                      (operation.totalWeight + operation.addedWeight);
         const double addedRate = operation.demand * (fractionAfter - weightFraction(operation, index));
@@ -186,9 +190,10 @@
         check.leastLoss = {.operation = &operation, .lossRatio = lossRatio, .rate = blockedRate};
 }
 
-/// Nothing fits (Algorithm 5, lines 13-16): the operation with the least throughput loss ratio moves
-/// nevertheless, and its table admits less until the step ends. The paper limits the whole flow; here only
-/// the blocked part of the demand moves, so only that part counts.
+/// Resolves a deadlock, in which no change fits (Algorithm 5, lines 13-16). The operation with the least
+/// throughput loss ratio is ordered nevertheless, and its table admits fewer requests until the step ends.
+/// The paper limits the rate of the whole flow. Here only the blocked fraction of the demand moves, so the
+/// loss ratio applies to that fraction only.
 void UpdateScheduler::breakDeadlock(const BlockedAdditions& leastLoss) {
     const PendingOperation& operation = *leastLoss.operation;
     const double rateLimitFraction = 1 - leastLoss.lossRatio * leastLoss.rate / operation.demand;
@@ -207,7 +212,8 @@
     return true;
 }
 
-/// The part of the operation's demand that its table, as installed, brings to the endpoint.
+/// Fraction of the operation's demand that its table, as installed, sends to the endpoint; 0 if the endpoint
+/// is excluded.
 double UpdateScheduler::weightFraction(const PendingOperation& operation, EndpointIndex index) const {
     if (operation.totalWeight <= 0 || endpoints_.excluded[index]) return 0;
     return operation.table->installed[index] / operation.totalWeight;
--- a/src/planner/update_scheduler.h
+++ b/src/planner/update_scheduler.h
@@ -1,12 +1,13 @@
-// Consistent updates in rounds, as in the Coeus paper (docs/design.md names its algorithms and what differs
-// here).
+// Consistent updates in rounds, after the Coeus paper (docs/design.md lists its algorithms and where this
+// implementation differs).
 //
-// Changes gather for a window; then a step orders those that fit the endpoints' capacities, and the next step
-// follows once all proxies have acknowledged it, until nothing is pending. Additions precede removals within
-// a table (Theorem 4), so that at no time the endpoints of a table carry more than they can.
+// A round first collects changes for the duration of a window. A step then orders the changes that fit the
+// endpoints' capacities. The next step follows once all proxies have acknowledged the previous one, until no
+// change is pending. Within a table, additions are ordered before removals (Theorem 4), so that the table's
+// endpoints are never brought more load than they can carry.
 //
-// Owns the state of the round and each full table's `rateLimitFraction`. Everything that bypasses the rounds
-// is in urgent_updates.h; subset tables are in table_assignment.h.
+// Owns the state of the round and each full table's `rateLimitFraction`. Updates that bypass the rounds are
+// in urgent_updates.h, subset tables in table_assignment.h.
 #pragma once
 
 #include <cstdint>
@@ -18,53 +19,65 @@
 
 namespace zincstack {
 
+/// State of the current round.
 enum class RoundState : std::uint8_t {
-    Idle,
-    Gathering,   ///< changes are pending, and the window is open
-    AwaitingAck, ///< a step was sent
-    Any,         ///< only in rows of a transition table
+    Idle,        ///< no round is in progress
+    Gathering,   ///< changes are pending and the window is open
+    AwaitingAck, ///< a step was sent and is not yet acknowledged
+    Any,         ///< wildcard, only for rows of a transition table
 };
 
+/// Moves the full tables to their target weights in rounds. The referenced objects must outlive it.
 class UpdateScheduler {
 public:
     UpdateScheduler(const EndpointRegistry& endpoints, const ProxyRegistry& proxies, ControlChannel& channel,
                     RoutingTables& routing, RoutingUpdateSink& sink)
         : endpoints_(endpoints), proxies_(proxies), channel_(channel), routing_(routing), sink_(sink) {}
 
-    /// Advances the round as far as possible; orders at most one step.
+    /// Advances the round as far as possible and orders at most one step.
     void advance(Micros now);
-    /// The batch of this time was closed with the barrier; none if nothing was ordered in it.
+    /// Records the barrier that closed the batch of time `now`; std::nullopt if the batch was empty.
     void batchClosed(std::optional<BarrierId> barrier, Micros now);
-    /// No step is under way: the targets may change.
+    /// Whether target weights may change: true between rounds and once the last step is acknowledged, false
+    /// while the window is open or a step awaits acknowledgement.
     bool mayChangeTargets(Micros now) const;
 
 private:
-    /// A node of the paper's dependency graph: what separates one table from its target.
+    /// A node of the paper's dependency graph: the difference between one table and its target.
     struct PendingOperation {
         PlannedTable* table;
-        double demand;          // requests a second
-        double totalWeight = 0; // installed, of endpoints that are not excluded
-        double addedWeight = 0; // that the additions bring
+        /// Requests per second.
+        double demand;
+        /// Sum of the installed weights of the endpoints that are not excluded.
+        double totalWeight = 0;
+        /// Weight that all additions together add to `totalWeight`.
+        double addedWeight = 0;
+        /// Endpoints whose target weight is above the installed one.
         std::vector<EndpointIndex> additions = {};
+        /// Endpoints whose target weight is below the installed one.
         std::vector<EndpointIndex> removals = {};
     };
-    /// Additions of one operation that exceed what is left of their endpoints' capacities.
+    /// Additions of one operation that exceed the residual capacity of their endpoints.
     struct BlockedAdditions {
-        const PendingOperation* operation = nullptr; // none is blocked
-        double lossRatio =
-            2;           // part of their requests that the fullest of their endpoints can't take; 2: none
-        double rate = 0; // requests a second that they would bring
+        /// Null if no operation is blocked.
+        const PendingOperation* operation = nullptr;
+        /// Fraction of an addition's requests that exceeds the residual capacity, at the endpoint where this
+        /// fraction is largest. The initial 2 is above any real ratio.
+        double lossRatio = 2;
+        /// Requests per second that the blocked additions would bring to their endpoints.
+        double rate = 0;
     };
     struct FitCheck {
-        bool hasProgress = false; // some addition was ordered
-        BlockedAdditions
-            leastLoss; // of the operations with blocked additions: the least throughput loss ratio
+        /// At least one addition was ordered.
+        bool hasProgress = false;
+        /// The operation with the least throughput loss ratio among those with blocked additions.
+        BlockedAdditions leastLoss;
     };
 
     bool takeTransition(Micros now);
     bool isStepAcknowledged(Micros now) const;
 
-    /// One step: each phase of the paper's Algorithm 5 is one of the functions below.
+    /// Runs one step. Each of the functions below is one phase of the paper's Algorithm 5.
     void executeStep(Micros now);
     std::vector<PendingOperation> findPendingOperations() const;
     PendingOperation compareWithTarget(PlannedTable& table) const;
@@ -76,7 +89,7 @@
     void breakDeadlock(const BlockedAdditions& leastLoss);
     void reportDeadlock(const PlannedTable& table);
 
-    /// False if the channel has no capacity left for it.
+    /// Orders the endpoint's target weight. Returns false if the channel has no capacity left for the update.
     bool orderUpdate(const PendingOperation& operation, EndpointIndex index);
     double weightFraction(const PendingOperation& operation, EndpointIndex index) const;
 
