--- a/src/planner/planned_table.cpp
+++ b/src/planner/planned_table.cpp
@@ -18,8 +18,8 @@
     double sum = 0;
     for (const auto& [proxyId, proxy] : proxies) {
         if (!serves(proxy)) continue;
-        for (EndpointIndex place = 0; place < proxy.demand.size(); ++place)
-            sum += requestClasses >> place & 1U ? proxy.demand[place] : 0;
+        for (EndpointIndex classIndex = 0; classIndex < proxy.demand.size(); ++classIndex)
+            sum += requestClasses >> classIndex & 1U ? proxy.demand[classIndex] : 0;
     }
     return sum;
 }
--- a/src/planner/planned_table.h
+++ b/src/planner/planned_table.h
@@ -1,4 +1,4 @@
-// A routing table as it was last ordered, and which proxies it serves. State only.
+// State of one routing table as last ordered by the planner, and the proxies that it serves.
 #pragma once
 
 #include <map>
@@ -9,27 +9,35 @@
 
 namespace zincstack {
 
-/// A table is full (it names all endpoints that may serve its request classes) or a subset table: a short
-/// table for proxies that have just joined, which names a few of the endpoints of one full table.
+/// A full table names all endpoints that may serve its request classes. A subset table names a few endpoints
+/// of one full table and is assigned to proxies that have just joined.
 struct PlannedTable {
     TableId id;
     ZoneId zone;
-    bool zoneLocal; ///< it names endpoints of its own zone only
+    /// The table names only endpoints of its own zone.
+    bool zoneLocal;
     RequestClassSet requestClasses;
-    std::vector<double> installed = {}; ///< by endpoint: the weight as last ordered
-    std::map<EndpointIndex, double> admission =
-        {};                       ///< by place of the request class: the limit as last ordered
-    bool inUse = false;           ///< of a full table: some proxy of its zone has joined
-    double rateLimitFraction = 1; ///< of its demand, that is admitted while an update is deadlocked
-    std::optional<EndpointIndex> subsetOf = {}; ///< place of the full table; none: it is full itself
-    EndpointIndex holderCount = 0;              ///< of a subset table: proxies that hold it
-    double holderRate = 0;                      ///< requests a second of these proxies
+    /// Weight of each endpoint as last ordered, indexed by endpoint.
+    std::vector<double> installed = {};
+    /// Admission limit of each request class as last ordered, by index of the request class; negative until
+    /// one is ordered.
+    std::map<EndpointIndex, double> admission = {};
+    /// For a full table: at least one proxy of its zone has joined.
+    bool inUse = false;
+    /// Fraction of the table's demand that is admitted; below 1 only while a deadlocked update is resolved.
+    double rateLimitFraction = 1;
+    /// For a subset table: index of its full table; std::nullopt for a full table.
+    std::optional<EndpointIndex> subsetOf = {};
+    /// For a subset table: number of proxies that hold it.
+    EndpointIndex holderCount = 0;
+    /// For a subset table: requests per second of the proxies that hold it.
+    double holderRate = 0;
 
     /// Whether the proxy holds this table.
     bool serves(const Proxy& proxy) const;
-    /// Endpoints with a weight above zero.
+    /// Number of endpoints with a weight above 0.
     double endpointCount() const;
-    /// Requests a second of its classes, from the proxies that hold it.
+    /// Requests per second, in the table's request classes, of the proxies that hold it.
     double demand(const ProxyRegistry& proxies) const;
 };
 
--- a/src/planner/routing_tables.cpp
+++ b/src/planner/routing_tables.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-/// How much more often a bootstrap table names an endpoint than if all were named equally often.
+/// Ratio between the assumed probability that a bootstrap table names an endpoint and the probability if all
+/// endpoints were named equally often.
 constexpr double kBootstrapTableSkew = 2;
-/// Earlier than the join of any proxy.
+/// Earlier than the join time of any proxy.
 constexpr Micros kBeforeAllJoins{-1};
 
 } // namespace
@@ -20,9 +21,9 @@
                                      std::uint8_t zoneCount) {
     for (const bool zoneLocal : {false, true}) {
         RequestClassSet served = 0;
-        for (EndpointIndex place = 0; place < requestClasses.size(); ++place)
-            if (requestClasses[place].zoneLocal == zoneLocal)
-                served = static_cast<RequestClassSet>(served | 1U << place);
+        for (EndpointIndex classIndex = 0; classIndex < requestClasses.size(); ++classIndex)
+            if (requestClasses[classIndex].zoneLocal == zoneLocal)
+                served = static_cast<RequestClassSet>(served | 1U << classIndex);
         if (served == 0) continue;
         for (std::uint8_t zone = 0; zone < zoneCount; ++zone)
             tables.push_back({{static_cast<std::uint16_t>(tables.size())}, {zone}, zoneLocal, served});
@@ -61,7 +62,7 @@
     });
 }
 
-bool RoutingTables::isWithoutEndpoint(const PlannedTable& table) const {
+bool RoutingTables::hasNoUsableEndpoint(const PlannedTable& table) const {
     const double usableWeight = endpoints_.sum(
         [&](EndpointIndex index) { return !endpoints_.excluded[index] * table.installed[index]; });
     return usableWeight <= 0;
--- a/src/planner/routing_tables.h
+++ b/src/planner/routing_tables.h
@@ -1,9 +1,10 @@
-// The routing tables as last ordered, their target weights, and the changes that bring one to the other.
+// The routing tables as last ordered, their target weights, and the updates that move one to the other.
 //
-// An update is always "this weight", never "more" or "less": what is not ordered yet is the difference
-// between the installed and the target weight, so that pending operations of several changes merge (the
-// paper's Algorithm 3, Tables IV to VI). Owns the tables; charges the control channel for each update.
-// Decides nothing about their order.
+// An update carries an absolute weight, never an increment. The pending operations of a table are the
+// differences between its installed and its target weights, so those of several changes merge (the Coeus
+// paper's Algorithm 3, Tables IV to VI).
+//
+// Owns the tables and charges the control channel for each update. The callers decide the order of updates.
 #pragma once
 
 #include <vector>
@@ -14,40 +15,43 @@
 
 namespace zincstack {
 
-/// Changes gather for so long before they are ordered together: the window of the paper's rounds.
+/// Time for which changes are collected before they are ordered together: the window of the paper's rounds.
 inline constexpr Micros kGatheringWindow = std::chrono::milliseconds{500};
 
+/// Holds all routing tables and sends their updates to the sink. The referenced objects must outlive it.
 class RoutingTables {
 public:
     RoutingTables(EndpointRegistry& endpoints, ControlChannel& channel, RoutingUpdateSink& sink,
                   double bootstrapTableSize)
         : endpoints_(endpoints), channel_(channel), sink_(sink), bootstrapTableSize_(bootstrapTableSize) {}
 
-    /// Full tables first, then subset tables; the place of a table is its id.
+    /// Full tables first, then subset tables. A table's index is its id.
     std::vector<PlannedTable> tables;
 
-    /// Creates the full tables: one for each zone, apart for zone-local and for all other request classes.
+    /// Creates the full tables: for each zone, one for the zone-local request classes and one for all others.
+    /// Tables without request classes are omitted.
     void createFullTables(const std::vector<RequestClassConfig>& requestClasses, std::uint8_t zoneCount);
-    /// Brings the tables up to date with the endpoints and proxies that are known now.
+    /// Updates the tables' size and `inUse` for the endpoints and proxies that are known now.
     void beginBatch(const ProxyRegistry& proxies, Micros now);
 
     EndpointIndex fullTableCount() const;
-    /// The weight that the endpoint should have in the table. A subset table gains no endpoints this way, and
-    /// a zone in which no proxy has joined needs none.
+    /// Target weight of the endpoint in the table. It is 0 for endpoints that a subset table does not already
+    /// name, since addEndpoint() adds those, and for all endpoints of a full table that is not in use.
     double targetWeightIn(const PlannedTable& table, EndpointIndex index) const;
-    /// Some full table differs from its target.
+    /// Whether at least one full table differs from its target.
     bool hasPendingChanges() const;
-    /// No endpoint of the table can be picked.
-    bool isWithoutEndpoint(const PlannedTable& table) const;
+    /// Whether every endpoint of the table has weight 0 or is excluded.
+    bool hasNoUsableEndpoint(const PlannedTable& table) const;
 
-    /// Orders the target weight; readmits the endpoint if it gets one.
+    /// Orders the endpoint's target weight, and readmits the endpoint if that is above 0.
     void installWeight(PlannedTable& table, EndpointIndex index);
     /// Adds the endpoint to a subset table.
     void addEndpoint(PlannedTable& table, EndpointIndex index);
-    /// Removes all endpoints of a table that no proxy holds: no message needs to be sent for it.
+    /// Removes all endpoints of a table that no proxy holds. The control channel is not charged, since no
+    /// message is needed.
     void clear(PlannedTable& table);
-    /// Excludes the endpoint at all proxies or readmits it. To exclude it again notifies those that joined
-    /// since.
+    /// Excludes the endpoint at all proxies, or readmits it. Excluding an endpoint again notifies the proxies
+    /// that joined since the last exclusion.
     void setExcluded(EndpointIndex index, bool excluded);
 
 private:
--- a/src/planner/urgent_updates.cpp
+++ b/src/planner/urgent_updates.cpp
@@ -8,9 +8,9 @@
 
 using namespace std::chrono_literals;
 
-/// No proxy joins with an inherited table that is older.
+/// No proxy joins with an inherited table that is older than this.
 constexpr Micros kMaxInheritedTableAge = 30s;
-/// Excluded part of a zone's endpoints from which on it counts as depleted.
+/// Fraction of a zone's endpoints that must be excluded for the zone to count as depleted.
 constexpr double kDepletedFraction = 0.25;
 
 } // namespace
@@ -27,7 +27,7 @@
         lowerWeights(index, outOfService, channelIsIdle, now);
         if (outOfService) exclude(index);
     }
-    fillTablesWithoutEndpoint();
+    refillTablesWithoutUsableEndpoint();
 }
 
 void UrgentUpdates::forgetIfUnreferenced(EndpointIndex index, Micros now) {
@@ -39,8 +39,9 @@
     if (!isReferenced && sink_.forgetEndpoint(endpoints_.id[index])) endpoints_.forget(index);
 }
 
-/// An endpoint that warms up can't carry its weight: it loses it at once. Any other in slow start
-/// (readmitted, or its weight reduced) loses some only while the channel is idle.
+/// An endpoint that is warming up can't carry its installed weight, so the weight is lowered immediately.
+/// That of any other endpoint in slow start (readmitted, or with a reduced weight) is lowered only while the
+/// channel is idle.
 void UrgentUpdates::lowerWeights(EndpointIndex index, bool outOfService, bool channelIsIdle, Micros now) {
     const bool isWarmingUp = health_.warmUpFraction(index, now) < 1;
     const bool isInSlowStart = endpoints_.slowStartStep[index] < kSlowStartSteps;
@@ -54,16 +55,18 @@
 }
 
 void UrgentUpdates::exclude(EndpointIndex index) {
-    // Only inherited tables name it now. They are short: ejections must not take their last endpoints.
+    // Only inherited tables still name the endpoint. They are short, so ejections must not remove their last
+    // endpoints.
     const bool isEjected = endpoints_.health[index] == HealthState::Ejected;
     if (isEjected && isDepleted(endpoints_, endpoints_.zone[index])) return;
     if (channel_.hasDeadlineCapacity(channel_.broadcastLines())) routing_.setExcluded(index, true);
 }
 
-/// Whatever took its last endpoint, such a table waits for no round.
-void UrgentUpdates::fillTablesWithoutEndpoint() {
+/// Orders the target weights of full tables without a usable endpoint, without waiting for a round, whatever
+/// the cause.
+void UrgentUpdates::refillTablesWithoutUsableEndpoint() {
     for (PlannedTable& table : routing_.tables) {
-        if (table.subsetOf || !routing_.isWithoutEndpoint(table)) continue;
+        if (table.subsetOf || !routing_.hasNoUsableEndpoint(table)) continue;
         for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
             if (routing_.targetWeightIn(table, index) <= 0) continue;
             if (channel_.hasDeadlineCapacity(channel_.broadcastLines())) routing_.installWeight(table, index);
@@ -78,7 +81,8 @@
     for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
         if (endpoints_.forgotten[index] || !endpoints_.excluded[index]) continue;
         if (lastJoin <= endpoints_.excludedAt[index]) continue;
-        // No deadline runs for ejected endpoints: their exclusion can wait.
+        // Only removed endpoints have a deadline (the drain grace period). The exclusion of ejected ones can
+        // wait until the channel is idle.
         const bool isUrgent = endpoints_.health[index] == HealthState::Removed;
         if ((isUrgent || channelIsIdle) && channel_.hasDeadlineCapacity(channel_.broadcastLines()))
             routing_.setExcluded(index, true);
--- a/src/planner/urgent_updates.h
+++ b/src/planner/urgent_updates.h
@@ -1,6 +1,8 @@
-// Updates that wait for no round: an endpoint that ended, drains or was ejected leaves all tables, an
-// endpoint that has just restarted loses weight, and no table stays without an endpoint. They bypass the
-// capacity ledger; on the control channel they may use the part of the queue that is reserved for deadlines.
+// Updates that do not wait for the update scheduler's rounds: endpoints that were removed, are draining or
+// were ejected leave all tables, endpoints that have just restarted lose weight, and full tables without a
+// usable endpoint are refilled. These updates bypass the capacity ledger. On the control channel they may use
+// the queue capacity that is reserved for updates with a deadline, except for reductions of the weight of
+// endpoints in service.
 //
 // Owns only the time at which exclusions were last repeated.
 #pragma once
@@ -10,10 +12,11 @@
 
 namespace zincstack {
 
-/// Whether so many of a zone's endpoints are excluded that its proxies with inherited tables may run out of
-/// them.
+/// Whether so many of the zone's endpoints are excluded that proxies with inherited tables may have no usable
+/// endpoint left.
 bool isDepleted(const EndpointRegistry& endpoints, ZoneId zone);
 
+/// Orders the urgent updates of each batch. The referenced objects must outlive it.
 class UrgentUpdates {
 public:
     UrgentUpdates(EndpointRegistry& endpoints, const HealthMonitor& health, const ProxyRegistry& proxies,
@@ -21,18 +24,22 @@
         : endpoints_(endpoints), health_(health), proxies_(proxies), channel_(channel), routing_(routing),
           sink_(sink) {}
 
+    /// Orders all urgent updates except repeated exclusions, and drops the state of endpoints that ended long
+    /// ago.
     void order(bool channelIsIdle, Micros now);
-    /// Excludes again, for proxies that joined since with an inherited table, what was excluded before:
-    /// hundreds that join at once can't all be assigned a table within the drain grace period.
+    /// Repeats earlier exclusions for proxies that have joined with an inherited table since. If hundreds of
+    /// proxies join at the same time, not all can be assigned a table within the drain grace period.
     void repeatExclusions(bool channelIsIdle, Micros now);
 
 private:
-    /// Forgets an endpoint that ended so long ago that no inherited table can name it. It bounds the size of
-    /// the registry, and spares its lines at each join.
+    /// Forgets an endpoint that ended so long ago that no inherited table can name it. This bounds the size
+    /// of the registry and saves the endpoint's lines whenever a proxy joins.
     void forgetIfUnreferenced(EndpointIndex index, Micros now);
+    /// Lowers the endpoint's weight to its target in the tables where it is above.
     void lowerWeights(EndpointIndex index, bool outOfService, bool channelIsIdle, Micros now);
     void exclude(EndpointIndex index);
-    void fillTablesWithoutEndpoint();
+    void refillTablesWithoutUsableEndpoint();
+    /// Time of the last join of a proxy that still uses its inherited table; negative if there is none.
     Micros lastJoinWithInheritedTable() const;
 
     EndpointRegistry& endpoints_;
