--- a/src/planner/subset_tables.h
+++ b/src/planner/subset_tables.h
@@ -1,11 +1,11 @@
-// Deterministic subsetting: short tables for proxies that join while the control channel can't carry full
-// tables for all of them at once.
+// Deterministic subsetting: short tables for proxies that join while the control channel lacks the capacity
+// to send full tables to all of them at the same time.
 //
-// A proxy joins with an inherited table, which may name any endpoint that has ended since, known here or not.
-// To exclude each of them costs a line an endpoint; a subset table replaces them all for a few lines, and
-// leaves few lines to take back in a rollout. The endpoints of a zone's full table are distributed over its
-// subset tables, each to one, and proxies over these by their request rate, so that each endpoint gets its
-// share.
+// A proxy joins with an inherited table, which may name any endpoint that has ended since, whether or not
+// this planner knows it. Excluding these endpoints costs one line each. A subset table replaces the inherited
+// table for a few lines and names few endpoints that a rollout has to remove again. The endpoints of a zone's
+// full table are distributed over its subset tables, each to one of them. The proxies are distributed over
+// the subset tables by request rate, so that each endpoint gets its share.
 #pragma once
 
 #include <cstdint>
@@ -17,31 +17,35 @@
 
 namespace zincstack {
 
-/// Decides what subset tables name and who gets which; the caller orders it. Appends subset tables to
-/// `tables`, and keeps their `holderCount` and `holderRate`. Tables are named by their place in `tables`.
+/// Chooses the endpoints of each subset table and the subset table of each proxy; the caller orders the
+/// updates. Appends subset tables to `tables` and maintains their `holderCount` and `holderRate`. Tables are
+/// identified by their index in `tables`.
 class SubsetTables {
 public:
-    /// `tables` holds the full tables first. The references must outlive this object.
+    /// `tables` holds the full tables first. The referenced objects must outlive this object.
     SubsetTables(std::vector<PlannedTable>& tables, const ProxyRegistry& proxies,
                  const EndpointRegistry& endpoints, std::size_t endpointsPerTable, std::uint32_t seed)
         : tables_(tables), proxies_(proxies), endpoints_(endpoints), endpointsPerTable_(endpointsPerTable),
           random_(seed) {}
 
-    /// An endpoint that is to be added to a table.
-    struct TableEndpoint {
+    /// An endpoint to add to a table.
+    struct EndpointAddition {
         EndpointIndex table;
         EndpointIndex endpoint;
     };
-    /// Distributes the endpoints over those subset tables of a full table that no proxy holds, which are
-    /// empty; creates as many tables as needed. `usable`: endpoints that may get their full share at once.
-    std::vector<TableEndpoint> distribute(EndpointIndex fullTable, const std::vector<EndpointIndex>& usable);
-    /// The endpoints that subset tables with too few usable ones get in addition.
-    std::vector<TableEndpoint> refill(EndpointIndex fullTable, const std::vector<EndpointIndex>& usable);
-    /// Chooses the subset table that is loaded least once a proxy of this request rate holds it, and counts
-    /// the proxy as its holder. None: no subset table has an endpoint.
+    /// Distributes the endpoints over those subset tables of a full table that no proxy holds and that are
+    /// therefore empty. Creates tables if there are fewer than the endpoints require. `usable`: the endpoints
+    /// that subset tables may name.
+    std::vector<EndpointAddition> distribute(EndpointIndex fullTable,
+                                             const std::vector<EndpointIndex>& usable);
+    /// Chooses additional endpoints for the held subset tables that have too few usable ones.
+    std::vector<EndpointAddition> refill(EndpointIndex fullTable, const std::vector<EndpointIndex>& usable);
+    /// Chooses the subset table with the lowest load per weight after adding a proxy of `requestRate`
+    /// (requests per second), and counts the proxy as its holder. Returns std::nullopt if no subset table has
+    /// an endpoint.
     std::optional<EndpointIndex> assign(EndpointIndex fullTable, double requestRate);
-    /// Counts the holders of each subset table anew.
-    void recount();
+    /// Recomputes `holderCount` and `holderRate` of each subset table.
+    void recountHolders();
 
 private:
     bool hasEnoughEndpoints(const PlannedTable& table) const;
--- a/src/planner/table_assignment.cpp
+++ b/src/planner/table_assignment.cpp
@@ -10,16 +10,18 @@
 
 namespace {
 
-/// Endpoints of a subset table that are readmitted with it, so that the proxy surely has one that no earlier
-/// planner has excluded there.
+/// Number of a subset table's endpoints that are readmitted when it is assigned, so that the proxy
+/// certainly has at least one that no earlier planner excluded there.
 constexpr std::size_t kFirstReadmissions = 2;
 
+/// A proxy and the rate, in requests per second, by which it is ranked.
 struct RankedProxy {
     ProxyId id;
     double requestRate;
 };
 
-/// The busiest first; equally busy ones by their ids.
+/// Returns the candidates in descending order of request rate; proxies with equal rates in the order of their
+/// ids.
 std::vector<RankedProxy> rankByRequestRate(const ProxyRegistry& proxies, const auto& isCandidate) {
     std::vector<RankedProxy> ranked;
     for (const auto& [id, proxy] : proxies)
@@ -76,18 +78,18 @@
     const EndpointIndex fullTableCount = routing_.fullTableCount();
     const bool hasSubsets = fullTableCount < routing_.tables.size();
     if (ranked.empty() && !hasSubsets) return;
-    subsets_.recount();
+    subsets_.recountHolders();
     clearUnusedSubsets();
     for (EndpointIndex fullTable = 0; fullTable < fullTableCount; ++fullTable) {
         if (!routing_.tables[fullTable].inUse) continue;
-        const auto usable = subsetEndpoints(routing_.tables[fullTable], now);
+        const auto usable = usableEndpoints(routing_.tables[fullTable], now);
         addEndpoints(subsets_.refill(fullTable, usable));
         if (!ranked.empty()) addEndpoints(subsets_.distribute(fullTable, usable));
     }
     for (const RankedProxy& next : ranked) assignSubsetsTo(next.id, fullTableCount);
 }
 
-std::vector<EndpointIndex> TableAssignment::subsetEndpoints(const PlannedTable& fullTable, Micros now) const {
+std::vector<EndpointIndex> TableAssignment::usableEndpoints(const PlannedTable& fullTable, Micros now) const {
     std::vector<EndpointIndex> warm;
     std::vector<EndpointIndex> warmingUp;
     for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
@@ -98,7 +100,7 @@
     return warm.empty() ? warmingUp : warm;
 }
 
-void TableAssignment::addEndpoints(const std::vector<SubsetTables::TableEndpoint>& additions) {
+void TableAssignment::addEndpoints(const std::vector<SubsetTables::EndpointAddition>& additions) {
     for (const auto& [table, endpoint] : additions) routing_.addEndpoint(routing_.tables[table], endpoint);
 }
 
@@ -109,7 +111,7 @@
 
 void TableAssignment::copyAdmission(const PlannedTable& fullTable, PlannedTable& subset) {
     for (const auto& [requestClass, limit] : fullTable.admission) {
-        if (limit < 0) continue; // none was ordered yet
+        if (limit < 0) continue; // no limit has been ordered yet
         sink_.setAdmission(subset.id, static_cast<RequestClassSet>(1U << requestClass), limit,
                            RetryPolicy::AfterProofOfNoEffect);
         subset.admission[requestClass] = limit;
@@ -134,15 +136,15 @@
 void TableAssignment::assignSubsetsTo(ProxyId id, EndpointIndex fullTableCount) {
     Proxy& proxy = proxies_[id];
     auto chosen = chooseSubsets(proxy, fullTableCount);
-    if (!chosen) return; // it keeps what it holds
+    if (!chosen) return; // the proxy keeps the table that it holds
     proxy.subsetTables = std::move(*chosen);
     double lines = 0;
-    for (const EndpointIndex place : proxy.subsetTables) {
-        const PlannedTable& table = routing_.tables[place];
+    for (const EndpointIndex tableIndex : proxy.subsetTables) {
+        const PlannedTable& table = routing_.tables[tableIndex];
         sink_.assignTable(id, table.requestClasses, table.id);
         lines += 1 + table.endpointCount();
     }
-    // An earlier planner may have excluded what they name.
+    // An earlier planner may have excluded endpoints of these tables at the proxy.
     if (!proxy.hasOnlyBootstrapTable && sink_.clearStaleExclusions(id, kFirstReadmissions))
         lines += kFirstReadmissions;
     channel_.ledger.stage(proxy, lines + 1);
--- a/src/planner/table_assignment.h
+++ b/src/planner/table_assignment.h
@@ -1,9 +1,12 @@
-// Which tables the proxies hold: those that join get a subset table or the full tables of their zone.
+// Assignment of tables to proxies: a proxy that joins gets a subset table or the full tables of its zone.
 //
 // A proxy joins with an inherited table, which may name endpoints that have ended. It is assigned the full
-// tables as soon as the control channel can carry them, the busiest proxy first. Where the sink measures the
-// channel and so many join that this takes longer, each gets a short subset table at once. Owns the subset
-// tables' random numbers; changes `hasFullTable`, `subsetTables` and `staleExclusionsCleared` of each Proxy.
+// tables as soon as the control channel can carry them, in descending order of the proxies' request rate. If
+// so many proxies join that this takes longer, each is first assigned a short subset table, provided that the
+// sink measures the channel.
+//
+// Owns the random numbers of the subset tables. Changes `hasFullTable`, `subsetTables` and
+// `staleExclusionsCleared` of each Proxy.
 #pragma once
 
 #include <cstddef>
@@ -17,6 +20,7 @@
 
 namespace zincstack {
 
+/// Assigns full tables and subset tables to proxies. The referenced objects must outlive it.
 class TableAssignment {
 public:
     TableAssignment(EndpointRegistry& endpoints, const HealthMonitor& health, ProxyRegistry& proxies,
@@ -25,31 +29,33 @@
         : endpoints_(endpoints), health_(health), proxies_(proxies), channel_(channel), routing_(routing),
           sink_(sink), subsets_(routing.tables, proxies, endpoints, bootstrapTableSize, seed) {}
 
-    /// Assigns the full tables to proxies without them, until about `budgetLines` are spent.
+    /// Assigns the full tables to proxies that lack them, until about `budgetLines` lines are spent.
     void assignFullTables(double budgetLines);
-    /// Whether more proxies may get full tables. Each endpoint that ends costs a line at each proxy that
-    /// holds them: half of the queue has to suffice for all endpoints that ended within a drain grace period.
+    /// Whether more proxies may be assigned full tables. Each endpoint that ends costs one line per proxy
+    /// with full tables, and half of the queue must suffice for all endpoints that ended within a drain grace
+    /// period. Always true if the sink does not measure the channel.
     bool mayAssignFullTables(Micros drainGracePeriod, Micros now) const;
-    /// Assigns a subset table to each proxy with an inherited table, where the proxy supports reassignment.
+    /// Assigns subset tables to each proxy that has an inherited table and supports reassignment. Also
+    /// refills the subset tables with too few usable endpoints and empties those that no proxy holds.
     void assignSubsetTables(Micros now);
-    /// Readmits at proxies with full tables the endpoints that earlier planners excluded there. Most of these
-    /// lines change nothing, and without them a table lacks a few endpoints at worst: it comes after all
-    /// else.
+    /// Readmits, at proxies with full tables, the endpoints that earlier planners excluded there. This has
+    /// the lowest priority: most of the lines change nothing, and without them a table lacks a few endpoints
+    /// at worst.
     void clearStaleExclusions();
 
 private:
     void assignFullTablesTo(ProxyId id, std::ptrdiff_t excludedCount);
     void assignSubsetsTo(ProxyId id, EndpointIndex fullTableCount);
-    /// The subset table for each full table of the proxy's zone; none if there is none with an endpoint for
-    /// one.
+    /// Returns a subset table for each full table of the proxy's zone, or std::nullopt if one of the full
+    /// tables has no subset table with an endpoint.
     std::optional<std::vector<EndpointIndex>> chooseSubsets(const Proxy& proxy, EndpointIndex fullTableCount);
-    /// Endpoints that may get their full share at once: those that have warmed up; others only where none
-    /// has.
-    std::vector<EndpointIndex> subsetEndpoints(const PlannedTable& fullTable, Micros now) const;
-    void addEndpoints(const std::vector<SubsetTables::TableEndpoint>& additions);
-    /// Empties subset tables that nobody holds any more, for those that join later.
+    /// Endpoints that subset tables may name: those that have warmed up, since they get their full share as
+    /// soon as a table names them; if there are none, those that are warming up.
+    std::vector<EndpointIndex> usableEndpoints(const PlannedTable& fullTable, Micros now) const;
+    void addEndpoints(const std::vector<SubsetTables::EndpointAddition>& additions);
+    /// Empties the subset tables that no proxy holds, so that they can be reused for proxies that join later.
     void clearUnusedSubsets();
-    /// A subset table admits at first what its full table does.
+    /// Orders the full table's admission limits for a subset table that gets its first holder.
     void copyAdmission(const PlannedTable& fullTable, PlannedTable& subset);
 
     EndpointRegistry& endpoints_;
