--- a/src/planner/routing_tables.h
+++ b/src/planner/routing_tables.h
@@ -15,8 +15,8 @@
 
 namespace zincstack {
 
-/// Time for which changes are collected before they are ordered together: the window of the paper's rounds.
-inline constexpr Micros kGatheringWindow = std::chrono::milliseconds{500};
+/// Time for which changes are coalesced before they are ordered together: the window of the paper's rounds.
+inline constexpr Micros kCoalescingWindow = std::chrono::milliseconds{500};
 
 /// Holds all routing tables and sends their updates to the sink. The referenced objects must outlive it.
 class RoutingTables {
--- a/src/planner/update_scheduler.cpp
+++ b/src/planner/update_scheduler.cpp
@@ -15,7 +15,7 @@
 
 /// A step ends after this time even if acknowledgements are missing, so that a proxy that hangs can't block
 /// all updates.
-constexpr Micros kMaxStepTime = 2s;
+constexpr Micros kStepTimeout = 2s;
 
 /// Fitting fraction of an operation without blocked additions; that of a blocked addition is below 1.
 constexpr double kNothingBlocked = 2;
@@ -29,8 +29,8 @@
 enum class RoundAction : std::uint8_t { OpenWindow, SendStep, EndRound };
 
 constexpr Transition<RoundState, RoundEvent, RoundAction> kRoundTransitions[] = {
-    {RoundState::Idle, RoundEvent::ChangesPending, RoundState::Gathering, RoundAction::OpenWindow},
-    {RoundState::Gathering, RoundEvent::WindowElapsed, RoundState::AwaitingAck, RoundAction::SendStep},
+    {RoundState::Idle, RoundEvent::ChangesPending, RoundState::Coalescing, RoundAction::OpenWindow},
+    {RoundState::Coalescing, RoundEvent::WindowElapsed, RoundState::AwaitingAck, RoundAction::SendStep},
     {RoundState::AwaitingAck, RoundEvent::AcknowledgedWithChanges, RoundState::AwaitingAck,
      RoundAction::SendStep},
     {RoundState::AwaitingAck, RoundEvent::Acknowledged, RoundState::Idle, RoundAction::EndRound},
@@ -51,7 +51,7 @@
     const auto hasOccurred = [&](RoundEvent event) {
         switch (event) {
         case RoundEvent::ChangesPending: return routing_.hasPendingChanges();
-        case RoundEvent::WindowElapsed: return now - windowOpenedAt_ >= kGatheringWindow;
+        case RoundEvent::WindowElapsed: return now - windowOpenedAt_ >= kCoalescingWindow;
         case RoundEvent::AcknowledgedWithChanges:
             return isStepAcknowledged(now) && routing_.hasPendingChanges();
         case RoundEvent::Acknowledged: return isStepAcknowledged(now);
@@ -73,7 +73,7 @@
 
 bool UpdateScheduler::isStepAcknowledged(Micros now) const {
     if (state_ != RoundState::AwaitingAck || stepSentAt_ == now) return false;
-    return now - stepSentAt_ >= kMaxStepTime || channel_.ledger.isAcknowledged(stepBarrier_);
+    return now - stepSentAt_ >= kStepTimeout || channel_.ledger.isAcknowledged(stepBarrier_);
 }
 
 void UpdateScheduler::batchClosed(std::optional<BarrierId> barrier, Micros now) {
@@ -167,7 +167,7 @@
 }
 
 void UpdateScheduler::checkFit(const PendingOperation& operation, CapacityLedger& ledger, FitCheck& check) {
-    const bool servesNobody = operation.demand <= 0 || operation.totalWeight <= 0;
+    const bool hasNoTraffic = operation.demand <= 0 || operation.totalWeight <= 0;
     double fittingFraction = kNothingBlocked;
     double blockedRate = 0;
     for (const EndpointIndex index : operation.additions) {
@@ -177,7 +177,7 @@
                                      (operation.totalWeight + operation.addedWeight);
         const double addedRate = operation.demand * (fractionAfter - weightFraction(operation, index));
         const double residual = ledger.residual(index);
-        if (servesNobody || addedRate <= residual) {
+        if (hasNoTraffic || addedRate <= residual) {
             ledger.reserve(index, addedRate);
             check.hasProgress |= orderUpdate(operation, index);
         } else {
@@ -187,7 +187,7 @@
     }
     const double lossRatio = 1 - fittingFraction;
     if (fittingFraction < 1 && lossRatio < check.leastLoss.lossRatio)
-        check.leastLoss = {.operation = &operation, .lossRatio = lossRatio, .rate = blockedRate};
+        check.leastLoss = {.operation = &operation, .lossRatio = lossRatio, .requestRate = blockedRate};
 }
 
 /// Resolves a deadlock, in which no change fits (Algorithm 5, lines 13-16). The operation with the least
@@ -196,7 +196,7 @@
 /// loss ratio applies to that fraction only.
 void UpdateScheduler::breakDeadlock(const BlockedAdditions& leastLoss) {
     const PendingOperation& operation = *leastLoss.operation;
-    const double rateLimitFraction = 1 - leastLoss.lossRatio * leastLoss.rate / operation.demand;
+    const double rateLimitFraction = 1 - leastLoss.lossRatio * leastLoss.requestRate / operation.demand;
     operation.table->rateLimitFraction = std::clamp(rateLimitFraction, 0.0, 1.0);
     reportDeadlock(*operation.table);
     for (const EndpointIndex index : operation.additions) orderUpdate(operation, index);
--- a/src/planner/update_scheduler.h
+++ b/src/planner/update_scheduler.h
@@ -1,7 +1,7 @@
 // Consistent updates in rounds, after the Coeus paper (docs/design.md lists its algorithms and where this
 // implementation differs).
 //
-// A round first collects changes for the duration of a window. A step then orders the changes that fit the
+// A round first coalesces changes for the duration of a window. A step then orders the changes that fit the
 // endpoints' capacities. The next step follows once all proxies have acknowledged the previous one, until no
 // change is pending. Within a table, additions are ordered before removals (Theorem 4), so that the table's
 // endpoints are never brought more load than they can carry.
@@ -22,7 +22,7 @@
 /// State of the current round.
 enum class RoundState : std::uint8_t {
     Idle,        ///< no round is in progress
-    Gathering,   ///< changes are pending and the window is open
+    Coalescing,  ///< changes are pending and the window is open
     AwaitingAck, ///< a step was sent and is not yet acknowledged
     Any,         ///< wildcard, only for rows of a transition table
 };
@@ -65,7 +65,7 @@
         /// fraction is largest. The initial 2 is above any real ratio.
         double lossRatio = 2;
         /// Requests per second that the blocked additions would bring to their endpoints.
-        double rate = 0;
+        double requestRate = 0;
     };
     struct FitCheck {
         /// At least one addition was ordered.
--- a/src/planner/urgent_updates.cpp
+++ b/src/planner/urgent_updates.cpp
@@ -75,7 +75,7 @@
 }
 
 void UrgentUpdates::repeatExclusions(bool channelIsIdle, Micros now) {
-    if (now - exclusionsRepeatedAt_ < kGatheringWindow) return;
+    if (now - exclusionsRepeatedAt_ < kCoalescingWindow) return;
     exclusionsRepeatedAt_ = now;
     const Micros lastJoin = lastJoinWithInheritedTable();
     for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
