--- a/tests/update_scheduler_test.cpp
+++ b/tests/update_scheduler_test.cpp
@@ -1,4 +1,5 @@
-// The update scheduler: rounds of differences, and what happens where no change fits.
+// Update scheduler: rounds order only the differences between installed and target weights, and a deadlock
+// (no pending change fits the endpoints' capacities) is resolved by reducing the admission of one table.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,7 +9,9 @@
 namespace zincstack::tests {
 namespace {
 
-TEST(UpdateScheduler, SendsOnlyDifferencesAndAnAdditionCancelsItsRemoval) {
+// Guards against updates for an endpoint that is added and removed within one window: both changes must merge
+// to no difference, so that only the draining endpoint is updated.
+TEST(UpdateScheduler, OrdersOnlyDifferencesAndARemovalCancelsItsPendingAddition) {
     const auto model = settledModel(6);
     model->updateEndpoint(9, EndpointState::Ready, 0us);
     model->updateEndpoint(9, EndpointState::Removed);
@@ -19,9 +22,13 @@
     EXPECT_TRUE(model->excluded.contains({3}));
 }
 
-TEST(UpdateScheduler, ADeadlockMovesATableAtAReducedRateForOneRound) {
+// Guards against a change that is never ordered because it fits no endpoint's capacity: the affected table
+// must be updated with reduced admission, and must admit all requests again when the step has ended.
+TEST(UpdateScheduler, ADeadlockedTableIsUpdatedWithReducedAdmissionForOneStep) {
     const auto model = settledModel(4);
-    model->addEndpoint(9, 60); // it has not reported, so it counts as average: no table's line for it fits
+    // Endpoint 9 has not reported, so its capacity is estimated from the mean weight instead of its listed
+    // one. Its addition does not fit in any table.
+    model->addEndpoint(9, 60);
     model->updateEndpoint(9, EndpointState::Ready);
     model->advance(800ms);
     EXPECT_LT(model->admissionLimits.back().second, 1);
