--- a/src/planner/capacity_ledger.cpp
+++ b/src/planner/capacity_ledger.cpp
@@ -1,3 +1,4 @@
+// Estimates the endpoints' capacities from their weights and the total demand.
 #include "planner/capacity_ledger.h"
 
 #include <numeric>
--- a/src/planner/subset_tables.cpp
+++ b/src/planner/subset_tables.cpp
@@ -1,3 +1,4 @@
+// Distributes endpoints over subset tables, and proxies over these tables by load.
 #include "planner/subset_tables.h"
 
 #include <algorithm>
--- a/src/planner/table_assignment.cpp
+++ b/src/planner/table_assignment.cpp
@@ -1,3 +1,4 @@
+// Assigns tables to proxies in descending order of request rate and stages the lines that this costs.
 #include "planner/table_assignment.h"
 
 #include <algorithm>
--- a/src/planner/update_scheduler.cpp
+++ b/src/planner/update_scheduler.cpp
@@ -1,3 +1,4 @@
+// State machine of the rounds, and one step of the Coeus paper's Algorithm 5 with its phases.
 #include "planner/update_scheduler.h"
 
 #include <algorithm>
--- a/src/planner/urgent_updates.cpp
+++ b/src/planner/urgent_updates.cpp
@@ -1,3 +1,4 @@
+// Decides which updates can't wait for a round and whether the control channel has capacity for them.
 #include "planner/urgent_updates.h"
 
 #include <algorithm>
--- a/tests/update_scheduler_test.cpp
+++ b/tests/update_scheduler_test.cpp
@@ -22,8 +22,8 @@
     EXPECT_TRUE(model->excluded.contains({3}));
 }
 
-// Guards against a change that is never ordered because it fits no endpoint's capacity: the affected table
-// must be updated with reduced admission, and must admit all requests again when the step has ended.
+// Guards against a change that is never ordered because it exceeds its endpoint's capacity: the affected
+// table must be updated with reduced admission, and must admit all requests again when the step has ended.
 TEST(UpdateScheduler, ADeadlockedTableIsUpdatedWithReducedAdmissionForOneStep) {
     const auto model = settledModel(4);
     // Endpoint 9 has not reported, so its capacity is estimated from the mean weight instead of its listed
