--- a/src/planner/planned_table.cpp
+++ b/src/planner/planned_table.cpp
@@ -11,7 +11,7 @@
 }
 
 double PlannedTable::endpointCount() const {
-    const auto count = std::ranges::count_if(installed, [](double weight) { return weight > 0; });
+    const auto count = std::ranges::count_if(installedWeight, [](double weight) { return weight > 0; });
     return static_cast<double>(count);
 }
 
--- a/src/planner/planned_table.h
+++ b/src/planner/planned_table.h
@@ -18,7 +18,7 @@
     bool zoneLocal;
     RequestClassSet requestClasses;
     /// Weight of each endpoint as last ordered, indexed by endpoint.
-    std::vector<double> installed = {};
+    std::vector<double> installedWeight = {};
     /// Admission limit of each request class as last ordered, by index of the request class; negative until
     /// one is ordered.
     std::map<EndpointIndex, double> admission = {};
--- a/src/planner/routing_tables.cpp
+++ b/src/planner/routing_tables.cpp
@@ -34,7 +34,7 @@
 void RoutingTables::beginBatch(const ProxyRegistry& proxies, Micros now) {
     batchStartedAt_ = now;
     for (PlannedTable& table : tables) {
-        table.installed.resize(endpoints_.size(), 0);
+        table.installedWeight.resize(endpoints_.size(), 0);
         table.inUse = !table.subsetOf && std::ranges::any_of(proxies, [&](const auto& entry) {
             return entry.second.zone == table.zone;
         });
@@ -48,7 +48,7 @@
 }
 
 double RoutingTables::targetWeightIn(const PlannedTable& table, EndpointIndex index) const {
-    if (table.subsetOf) return table.installed[index] > 0 ? targetWeight(endpoints_, index) : 0;
+    if (table.subsetOf) return table.installedWeight[index] > 0 ? targetWeight(endpoints_, index) : 0;
     if (!table.inUse) return 0;
     if (table.zoneLocal && endpoints_.zone[index] != table.zone) return 0;
     return targetWeight(endpoints_, index);
@@ -58,14 +58,14 @@
     return std::ranges::any_of(tables, [&](const PlannedTable& table) {
         if (table.subsetOf) return false;
         for (EndpointIndex index = 0; index < endpoints_.size(); ++index)
-            if (targetWeightIn(table, index) != table.installed[index]) return true;
+            if (targetWeightIn(table, index) != table.installedWeight[index]) return true;
         return false;
     });
 }
 
 bool RoutingTables::hasNoUsableEndpoint(const PlannedTable& table) const {
     const double usableWeight = endpoints_.sum(
-        [&](EndpointIndex index) { return !endpoints_.excluded[index] * table.installed[index]; });
+        [&](EndpointIndex index) { return !endpoints_.excluded[index] * table.installedWeight[index]; });
     return usableWeight <= 0;
 }
 
@@ -76,13 +76,13 @@
 }
 
 void RoutingTables::addEndpoint(PlannedTable& table, EndpointIndex index) {
-    table.installed.resize(endpoints_.size(), 0);
+    table.installedWeight.resize(endpoints_.size(), 0);
     orderWeight(table, index, targetWeight(endpoints_, index));
 }
 
 void RoutingTables::clear(PlannedTable& table) {
-    for (EndpointIndex index = 0; index < table.installed.size(); ++index) {
-        const double installed = std::exchange(table.installed[index], 0);
+    for (EndpointIndex index = 0; index < table.installedWeight.size(); ++index) {
+        const double installed = std::exchange(table.installedWeight[index], 0);
         if (installed > 0) sink_.setWeight(table.id, endpoints_.id[index], 0);
     }
 }
@@ -100,7 +100,7 @@
 }
 
 void RoutingTables::orderWeight(PlannedTable& table, EndpointIndex index, double weight) {
-    table.installed[index] = weight;
+    table.installedWeight[index] = weight;
     sink_.setWeight(table.id, endpoints_.id[index], weight);
     channel_.ledger.chargeTable(table, 1);
 }
--- a/src/planner/subset_tables.cpp
+++ b/src/planner/subset_tables.cpp
@@ -41,7 +41,7 @@
     PlannedTable subset{
         {static_cast<std::uint16_t>(tableIndex)}, parent.zone, parent.zoneLocal, parent.requestClasses};
     subset.subsetOf = fullTable;
-    subset.installed.resize(endpoints_.size(), 0);
+    subset.installedWeight.resize(endpoints_.size(), 0);
     tables_.push_back(std::move(subset));
     return tableIndex;
 }
@@ -69,8 +69,8 @@
 
 bool SubsetTables::hasEnoughEndpoints(const PlannedTable& table) const {
     std::size_t usable = 0;
-    for (EndpointIndex index = 0; index < table.installed.size(); ++index)
-        if (table.installed[index] > 0 && endpoints_.isInService(index) && !endpoints_.excluded[index])
+    for (EndpointIndex index = 0; index < table.installedWeight.size(); ++index)
+        if (table.installedWeight[index] > 0 && endpoints_.isInService(index) && !endpoints_.excluded[index])
             ++usable;
     return static_cast<double>(usable) > kRefillThreshold * static_cast<double>(endpointsPerTable_);
 }
@@ -83,7 +83,7 @@
         if (table.holderCount == 0 || hasEnoughEndpoints(table)) continue;
         std::vector<EndpointIndex> candidates;
         std::ranges::copy_if(usable, std::back_inserter(candidates),
-                             [&](EndpointIndex index) { return table.installed[index] <= 0; });
+                             [&](EndpointIndex index) { return table.installedWeight[index] <= 0; });
         std::ranges::shuffle(candidates, random_);
         const std::size_t count = std::min(candidates.size(), endpointsPerTable_ / 2 + 1);
         for (std::size_t k = 0; k < count; ++k) additions.push_back({tableIndex, candidates[k]});
@@ -96,7 +96,8 @@
     double leastLoad = 0;
     for (const EndpointIndex tableIndex : subsetsOf(fullTable)) {
         const PlannedTable& table = tables_[tableIndex];
-        const double weight = std::accumulate(table.installed.begin(), table.installed.end(), 0.0);
+        const double weight =
+            std::accumulate(table.installedWeight.begin(), table.installedWeight.end(), 0.0);
         if (weight <= 0) continue;
         const double load = (table.holderRate + requestRate) / weight;
         if (leastLoaded && load >= leastLoad) continue;
--- a/src/planner/update_scheduler.cpp
+++ b/src/planner/update_scheduler.cpp
@@ -111,7 +111,7 @@
     PendingOperation operation{.table = &table, .demand = table.demand(proxies_)};
     for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
         const double target = routing_.targetWeightIn(table, index);
-        const double installed = table.installed[index];
+        const double installed = table.installedWeight[index];
         const double usable = endpoints_.excluded[index] ? 0 : installed;
         operation.totalWeight += usable;
         if (target > installed) {
@@ -217,7 +217,7 @@
 /// is excluded.
 double UpdateScheduler::weightFraction(const PendingOperation& operation, EndpointIndex index) const {
     if (operation.totalWeight <= 0 || endpoints_.excluded[index]) return 0;
-    return operation.table->installed[index] / operation.totalWeight;
+    return operation.table->installedWeight[index] / operation.totalWeight;
 }
 
 } // namespace zincstack
--- a/src/planner/urgent_updates.cpp
+++ b/src/planner/urgent_updates.cpp
@@ -36,7 +36,7 @@
     if (!endpoints_.excluded[index] || endpoints_.forgotten[index]) return;
     if (now - endpoints_.healthChangedAt[index] <= kMaxInheritedTableAge) return;
     const bool isReferenced = std::ranges::any_of(
-        routing_.tables, [index](const PlannedTable& table) { return table.installed[index] > 0; });
+        routing_.tables, [index](const PlannedTable& table) { return table.installedWeight[index] > 0; });
     if (!isReferenced && sink_.forgetEndpoint(endpoints_.id[index])) endpoints_.forget(index);
 }
 
@@ -48,7 +48,7 @@
     const bool isInSlowStart = endpoints_.slowStartStep[index] < kSlowStartSteps;
     const bool mayLower = isWarmingUp || (channelIsIdle && isInSlowStart);
     for (PlannedTable& table : routing_.tables) {
-        if (table.installed[index] <= routing_.targetWeightIn(table, index)) continue;
+        if (table.installedWeight[index] <= routing_.targetWeightIn(table, index)) continue;
         const bool hasCapacity = outOfService ? channel_.hasDeadlineCapacity(channel_.broadcastLines())
                                               : mayLower && channel_.spareLines(kBatchBudget) > 0;
         if (hasCapacity) routing_.installWeight(table, index);
