--- a/src/planner/planned_table.cpp
+++ b/src/planner/planned_table.cpp
@@ -1,3 +1,4 @@
+// Which proxies a routing table serves, and the demand that they bring to it.
 #include "planner/planned_table.h"
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 }
 
 double PlannedTable::endpointCount() const {
-    const auto count = std::ranges::count_if(installed, [](double weight) { return weight > 0; });
+    const auto count = std::ranges::count_if(installedWeight, [](double weight) { return weight > 0; });
     return static_cast<double>(count);
 }
 
@@ -18,8 +19,8 @@
     double sum = 0;
     for (const auto& [proxyId, proxy] : proxies) {
         if (!serves(proxy)) continue;
-        for (EndpointIndex place = 0; place < proxy.demand.size(); ++place)
-            sum += requestClasses >> place & 1U ? proxy.demand[place] : 0;
+        for (EndpointIndex classIndex = 0; classIndex < proxy.demand.size(); ++classIndex)
+            sum += requestClasses >> classIndex & 1U ? proxy.demand[classIndex] : 0;
     }
     return sum;
 }
--- a/src/planner/urgent_updates.cpp
+++ b/src/planner/urgent_updates.cpp
@@ -1,3 +1,4 @@
+// Decides which updates can't wait for a round and whether the control channel has capacity for them.
 #include "planner/urgent_updates.h"
 
 #include <algorithm>
@@ -8,9 +9,9 @@
 
 using namespace std::chrono_literals;
 
-/// No proxy joins with an inherited table that is older.
+/// No proxy joins with an inherited table that is older than this.
 constexpr Micros kMaxInheritedTableAge = 30s;
-/// Excluded part of a zone's endpoints from which on it counts as depleted.
+/// Fraction of a zone's endpoints that must be excluded for the zone to count as depleted.
 constexpr double kDepletedFraction = 0.25;
 
 } // namespace
@@ -27,7 +28,7 @@
         lowerWeights(index, outOfService, channelIsIdle, now);
         if (outOfService) exclude(index);
     }
-    fillTablesWithoutEndpoint();
+    refillTablesWithoutUsableEndpoint();
 }
 
 void UrgentUpdates::forgetIfUnreferenced(EndpointIndex index, Micros now) {
@@ -35,18 +36,19 @@
     if (!endpoints_.excluded[index] || endpoints_.forgotten[index]) return;
     if (now - endpoints_.healthChangedAt[index] <= kMaxInheritedTableAge) return;
     const bool isReferenced = std::ranges::any_of(
-        routing_.tables, [index](const PlannedTable& table) { return table.installed[index] > 0; });
+        routing_.tables, [index](const PlannedTable& table) { return table.installedWeight[index] > 0; });
     if (!isReferenced && sink_.forgetEndpoint(endpoints_.id[index])) endpoints_.forget(index);
 }
 
-/// An endpoint that warms up can't carry its weight: it loses it at once. Any other in slow start
-/// (readmitted, or its weight reduced) loses some only while the channel is idle.
+/// An endpoint that is warming up can't carry its installed weight, so the weight is lowered immediately.
+/// That of any other endpoint in slow start (readmitted, or with a reduced weight) is lowered only while the
+/// channel is idle.
 void UrgentUpdates::lowerWeights(EndpointIndex index, bool outOfService, bool channelIsIdle, Micros now) {
     const bool isWarmingUp = health_.warmUpFraction(index, now) < 1;
     const bool isInSlowStart = endpoints_.slowStartStep[index] < kSlowStartSteps;
     const bool mayLower = isWarmingUp || (channelIsIdle && isInSlowStart);
     for (PlannedTable& table : routing_.tables) {
-        if (table.installed[index] <= routing_.targetWeightIn(table, index)) continue;
+        if (table.installedWeight[index] <= routing_.targetWeightIn(table, index)) continue;
         const bool hasCapacity = outOfService ? channel_.hasDeadlineCapacity(channel_.broadcastLines())
                                               : mayLower && channel_.spareLines(kBatchBudget) > 0;
         if (hasCapacity) routing_.installWeight(table, index);
@@ -54,16 +56,18 @@
 }
 
 void UrgentUpdates::exclude(EndpointIndex index) {
-    // Only inherited tables name it now. They are short: ejections must not take their last endpoints.
+    // Only inherited tables still name the endpoint. They are short, so ejections must not remove their last
+    // endpoints.
     const bool isEjected = endpoints_.health[index] == HealthState::Ejected;
     if (isEjected && isDepleted(endpoints_, endpoints_.zone[index])) return;
     if (channel_.hasDeadlineCapacity(channel_.broadcastLines())) routing_.setExcluded(index, true);
 }
 
-/// Whatever took its last endpoint, such a table waits for no round.
-void UrgentUpdates::fillTablesWithoutEndpoint() {
+/// Orders the target weights of full tables without a usable endpoint, without waiting for a round, whatever
+/// the cause.
+void UrgentUpdates::refillTablesWithoutUsableEndpoint() {
     for (PlannedTable& table : routing_.tables) {
-        if (table.subsetOf || !routing_.isWithoutEndpoint(table)) continue;
+        if (table.subsetOf || !routing_.hasNoUsableEndpoint(table)) continue;
         for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
             if (routing_.targetWeightIn(table, index) <= 0) continue;
             if (channel_.hasDeadlineCapacity(channel_.broadcastLines())) routing_.installWeight(table, index);
@@ -72,13 +76,14 @@
 }
 
 void UrgentUpdates::repeatExclusions(bool channelIsIdle, Micros now) {
-    if (now - exclusionsRepeatedAt_ < kGatheringWindow) return;
+    if (now - exclusionsRepeatedAt_ < kCoalescingWindow) return;
     exclusionsRepeatedAt_ = now;
     const Micros lastJoin = lastJoinWithInheritedTable();
     for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
         if (endpoints_.forgotten[index] || !endpoints_.excluded[index]) continue;
         if (lastJoin <= endpoints_.excludedAt[index]) continue;
-        // No deadline runs for ejected endpoints: their exclusion can wait.
+        // Only removed endpoints have a deadline (the drain grace period). The exclusion of ejected ones can
+        // wait until the channel is idle.
         const bool isUrgent = endpoints_.health[index] == HealthState::Removed;
         if ((isUrgent || channelIsIdle) && channel_.hasDeadlineCapacity(channel_.broadcastLines()))
             routing_.setExcluded(index, true);
