--- a/src/platform/channel_statistics.h
+++ b/src/platform/channel_statistics.h
@@ -1,5 +1,5 @@
-// Statistics of the platform's push streams: lines written by kind, acknowledgements, opened and closed streams.
-// Logged once a second while there is any activity.
+// Statistics of the push streams of the platform protocol: lines written by kind, acknowledgements, and
+// streams opened, closed and replaced. Logged at most once a second, and only if there was any activity.
 #pragma once
 
 #include <cstddef>
@@ -9,18 +9,19 @@
 
 namespace zincstack::net {
 
-/// Lines of messages by kind, as the protocol counts them, without the overhead of a message.
+/// Number of lines by kind, as the protocol counts them, without the per-message overhead.
 struct LineCounts {
     std::size_t weights = 0;
     std::size_t exclusions = 0;
     std::size_t readmissions = 0;
     std::size_t admissionLimits = 0;
-    std::size_t framing = 0; ///< replacements of a table, and barriers
+    std::size_t framing = 0; ///< table replacements and barriers
 
     std::size_t total() const { return weights + exclusions + readmissions + admissionLimits + framing; }
     LineCounts& operator+=(const LineCounts& other);
 };
 
+/// Accumulates the statistics of one log interval.
 class ChannelStatistics {
 public:
     void messageWritten(const LineCounts& lines);
@@ -28,19 +29,19 @@
     void streamOpened() { ++current_.streamsOpened; }
     void streamClosed() { ++current_.streamsClosed; }
     void streamReplaced() { ++current_.streamsReplaced; }
-    /// Records the present number of unacknowledged lines; the maximum of an interval is logged.
+    /// Records the current number of unacknowledged lines. The log event contains the interval's maximum.
     void sampleUnacknowledgedLines(std::size_t lines);
 
-    /// What is logged as it is at the end of the interval.
+    /// Values that are logged as of the end of the interval.
     struct Gauges {
-        std::size_t unacknowledgedLines = 0; ///< written, and may still wait in the channel
-        std::size_t deferredLines = 0;       ///< wait for capacity in the channel
+        std::size_t unacknowledgedLines = 0; ///< written and possibly still in the channel
+        std::size_t deferredLines = 0;       ///< waiting for capacity in the channel
         std::size_t joinedProxies = 0;
-        std::size_t unassignedProxies = 0; ///< joined, but no table is assigned
+        std::size_t unassignedProxies = 0; ///< joined, but without an assigned table
     };
-    /// Whether an interval has passed since the last log event and there was any activity.
+    /// Whether a log interval has passed since the last log event and there has been activity since.
     bool isDue(Micros now) const;
-    /// Logs the event `channel` and begins the next interval.
+    /// Logs the event `channel` and starts the next interval.
     void logInterval(Micros now, const Gauges& gauges);
 
 private:
--- a/src/platform/endpoint_entry.cpp
+++ b/src/platform/endpoint_entry.cpp
@@ -32,10 +32,11 @@
     return text ? names.zone(*text) : std::nullopt;
 }
 
-/// None unless the field is absent or a finite number that is not negative.
-std::optional<double> parseNumber(const json::Value& member, const char* field, double absent) {
+/// Returns `defaultValue` if the field is missing or null, and std::nullopt if it is anything other than a
+/// finite, non-negative number.
+std::optional<double> parseNumber(const json::Value& member, const char* field, double defaultValue) {
     const json::Value& value = json::member(member, field);
-    if (value.is_null()) return absent;
+    if (value.is_null()) return defaultValue;
     const double number = value.is_number() ? value.get<double>() : -1;
     return std::isfinite(number) && number >= 0 ? std::optional(number) : std::nullopt;
 }
--- a/src/platform/prober.cpp
+++ b/src/platform/prober.cpp
@@ -35,7 +35,8 @@
 void Prober::probe(EndpointId endpoint) { asio::co_spawn(io_, run(endpoint), rethrow); }
 
 asio::awaitable<void> Prober::run(EndpointId endpoint) {
-    // The planner asks from within a decision, and no result may reach it before the decision is complete.
+    // The planner requests probes while it decides, and must not receive a result before the decision is
+    // complete.
     co_await asio::post(io_, asio::use_awaitable);
     if (runningProbes_ >= maxConcurrentProbes_) {
         inputs_.probeCompleted(endpoint, ProbeStatus::Rejected, 0s, {});
--- a/src/platform/prober.h
+++ b/src/platform/prober.h
@@ -1,4 +1,4 @@
-// Sends health checks to endpoints when the planner asks for them: one HTTP request and one result each.
+// Runs the health checks that the planner requests: one HTTP request and one result per probe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,13 +13,15 @@
 
 namespace zincstack::net {
 
+/// Sends probes to endpoints. Probes beyond the concurrency limit complete with ProbeStatus::Rejected.
 class Prober {
 public:
-    /// A `connectTimeout` of 0 means the default. `reportsLoad`: endpoints answer with a load report.
+    /// A `connectTimeout` of 0 selects the default. With `reportsLoad`, probes request `/-/load` instead of
+    /// `/-/healthy`, because endpoints answer it with a load report.
     Prober(boost::asio::io_context& io, const NameRegistry& names, InputTranslator& inputs,
            Counters& counters, BufferPool& buffers, std::size_t maxConcurrentProbes, Micros connectTimeout,
            bool reportsLoad);
-    /// The result goes to the InputTranslator, never before this call returns.
+    /// Starts a probe. Its result is passed to the InputTranslator, never before this call returns.
     void probe(EndpointId endpoint);
 
 private:
--- a/src/platform/push_encoder.cpp
+++ b/src/platform/push_encoder.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Weights of one part, which keeps a line well below kMaxLineBytes.
+/// A part whose weights exceed this size is complete. This keeps each line well below kMaxLineBytes.
 constexpr std::size_t kMaxWeightBytesPerPart = 512 * 1024;
 
 std::string formatNumber(double value) {
@@ -26,7 +26,7 @@
     return out;
 }
 
-/// ` for=a+b`, or nothing if the set holds every request class.
+/// Returns ` for=a+b`, or an empty string if the set contains all request classes.
 std::string formatRequestClasses(RequestClassSet requestClasses, const NameRegistry& names) {
     std::string out;
     bool all = true;
@@ -45,12 +45,13 @@
            " again=" + std::to_string(static_cast<int>(limit.retryPolicy));
 }
 
+/// An admission limit and the request classes that share it.
 struct SharedLimit {
     routing::AdmissionLimit limit;
     RequestClassSet requestClasses = 0;
 };
 
-/// Each distinct limit once, with the request classes that it applies to.
+/// Returns each distinct limit once, with the request classes that it applies to.
 std::vector<SharedLimit> groupByLimit(const routing::AdmissionLimits& limits) {
     std::vector<SharedLimit> groups;
     for (const auto& [requestClass, limit] : limits) {
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Completes the last part with what is not bound to a table.
+    /// Appends the fields that do not belong to a table to the last part: exclusions, readmissions and the
+    /// barrier.
     void addTrailer(const PushMessage& message) {
         std::string trailer;
         if (!message.exclusions.empty()) trailer += " drop=" + formatNames(message.exclusions, names_);
@@ -98,7 +100,8 @@
     }
 
 private:
-    /// Only the first part of a table that is replaced says so.
+    /// Adds the table's weights, in several parts if necessary. Only the first part of a replaced table has
+    /// the field `replace=1`, because the proxy discards the old table when it reads that field.
     void addWeights(const TableUpdate& table) {
         const std::string requestClasses = formatRequestClasses(table.requestClasses, names_);
         bool replacesTable = table.replacesTable;
--- a/src/platform/push_encoder.h
+++ b/src/platform/push_encoder.h
@@ -1,4 +1,4 @@
-// Encodes an update for one proxy as the `push` lines of the platform protocol.
+// Encodes an update for one proxy as `push` lines of the platform protocol.
 #pragma once
 
 #include <optional>
@@ -12,16 +12,17 @@
 
 namespace zincstack::net {
 
-/// The change to a proxy's table for some request classes.
+/// A change to a proxy's routing table for a set of request classes.
 struct TableUpdate {
     RequestClassSet requestClasses = 0;
-    bool replacesTable = false; ///< `weights` is the complete table, and earlier admission limits are void
+    bool replacesTable = false; ///< `weights` is the complete table; earlier admission limits end
     routing::EndpointWeights weights;
     routing::AdmissionLimits admission;
 
     bool empty() const { return !replacesTable && weights.empty() && admission.empty(); }
 };
 
+/// One update for a proxy, before it is encoded.
 struct PushMessage {
     std::vector<TableUpdate> tables;
     std::set<EndpointId> exclusions;
@@ -29,18 +30,19 @@
     std::optional<BarrierId> barrier;
 };
 
+/// An encoded update.
 struct EncodedPush {
     std::string bytes;
-    LineCounts lines;
-    std::size_t partCount = 0; ///< `push` lines
+    LineCounts lines;          ///< without the per-message overhead
+    std::size_t partCount = 0; ///< number of `push` lines
 };
 
-/// Limit of the protocol on `push` lines in one message.
+/// The protocol's limit on the number of `push` lines in one message.
 inline constexpr std::size_t kMaxPartsPerMessage = 64;
 
 EncodedPush encodePush(const PushMessage& message, const NameRegistry& names);
 
-/// Lines that the limits take in a message: request classes with equal limits share one.
+/// Number of lines that the limits take in a message. Request classes with equal limits share one line.
 std::size_t countAdmissionLines(const routing::AdmissionLimits& limits);
 
 } // namespace zincstack::net
--- a/src/platform/push_stream.h
+++ b/src/platform/push_stream.h
@@ -1,18 +1,20 @@
-// The stream on which a proxy receives push messages, as far as UpdateQueue needs to know it.
+// The interface through which UpdateQueue writes push messages to a proxy.
 #pragma once
 
 #include <string_view>
 
 namespace zincstack::net {
 
+/// The sending side of a proxy's connection.
 class PushStream {
 public:
     virtual ~PushStream() = default;
-    /// Accepts a complete message, to be written as fast as the reader reads; false if its buffer is full.
+    /// Queues a complete message, which is written as fast as the proxy reads. Returns false, and queues
+    /// nothing, if the write queue has no room for it.
     virtual bool push(std::string_view bytes) = 0;
-    /// Whether everything accepted so far has been written.
+    /// Whether everything that was queued has been written.
     virtual bool idle() const = 0;
-    /// The proxy has opened a newer stream: this one ends.
+    /// Called when the proxy has opened a newer stream, which ends this one.
     virtual void replaced() = 0;
 };
 
--- a/src/platform/session_acceptor.cpp
+++ b/src/platform/session_acceptor.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Connects a session to the connection that it is fed from and writes to.
+/// Adapts a PeerSession to a Connection: received bytes go to the session, push messages to the connection.
 class ConnectedSession final : public PeerProtocol, PushStream {
 public:
     ConnectedSession(Connection& connection, InputTranslator& inputs, Counters& counters,
@@ -42,14 +42,15 @@
 
 void SessionAcceptor::startServing() {
     if (std::exchange(isServing_, true)) return;
-    for (const auto& waiting : std::exchange(unansweredProbes_, {}))
-        if (const auto connection = waiting.lock()) answerProbe(*connection);
+    for (const auto& probed : std::exchange(unansweredProbes_, {}))
+        if (const auto connection = probed.lock()) answerProbe(*connection);
 }
 
 void SessionAcceptor::answerProbe(Connection& connection) {
     if (!isServing_) return unansweredProbes_.push_back(connection.weak_from_this());
     counters_.add(Counter::ProbesAnswered);
-    if (!connection.push("alive\r\n")) counters_.recordIgnored(Counter::NoRoom, "no room for an answer");
+    if (!connection.push("alive\r\n"))
+        counters_.recordIgnored(Counter::NoRoom, "no room in the write queue to answer a probe");
 }
 
 } // namespace zincstack::net
--- a/src/platform/session_acceptor.h
+++ b/src/platform/session_acceptor.h
@@ -1,5 +1,4 @@
-// Accepts the connections to the planner's address: each gets a session of the platform protocol, and probes are
-// answered once the planner serves.
+// Accepts connections to the planner's listening address. Each one gets a session of the platform protocol.
 #pragma once
 
 #include <memory>
@@ -12,16 +11,20 @@
 
 namespace zincstack::net {
 
+/// Creates the sessions and answers the peers' `probe` messages. Probes that arrive before startServing()
+/// stay unanswered until then.
 class SessionAcceptor {
 public:
-    /// Bytes that may wait for one slow reader. Beyond them it is resynchronized once it has caught up.
+    /// Bytes queued for one connection beyond which no further message is queued. A proxy that missed a
+    /// message for this reason is resynchronized once it has read everything that was queued.
     static constexpr std::size_t kQueueBytesMost = 256 * 1024;
 
     SessionAcceptor(InputTranslator& inputs, Counters& counters, BufferPool& lineBuffers)
         : inputs_(inputs), counters_(counters), lineBuffers_(lineBuffers) {}
 
+    /// Creates the session of a connection. The connection must outlive the session.
     std::unique_ptr<PeerProtocol> accept(Connection& connection);
-    /// Probes are answered from now on, including those that wait for an answer.
+    /// Answers the probes that have arrived so far, and from now on each further probe immediately.
     void startServing();
 
 private:
