--- a/src/platform/input_translator.cpp
+++ b/src/platform/input_translator.cpp
@@ -13,14 +13,14 @@
 
 using namespace std::chrono_literals;
 
-// Larger values are taken as corrupt: they would dominate the planner's sums.
+// Larger values are treated as corrupt, because they would dominate the planner's sums.
 constexpr std::uint32_t kMaxRequestsPerReport = 10'000'000;
 constexpr double kMaxLoadValue = 1e9;
 constexpr Micros kMaxDuration = 10min;
 
-constexpr std::uint32_t kMaxId = 65535;
+constexpr std::uint32_t kMaxId = 65535; // ids of proxies and barriers have 16 bits
 
-std::optional<Micros> durationOf(const Message& message, std::string_view name) {
+std::optional<Micros> readDuration(const Message& message, std::string_view name) {
     const auto duration = message.millis(name);
     return duration && *duration <= kMaxDuration ? duration : std::nullopt;
 }
@@ -30,14 +30,14 @@
     std::uint32_t failed = 0;
 };
 
-std::optional<RequestCounts> requestCountsOf(const Message& message) {
+std::optional<RequestCounts> readRequestCounts(const Message& message) {
     const auto total = message.count("tries", kMaxRequestsPerReport);
     const auto failed = message.count("failed", kMaxRequestsPerReport);
     if (!total || !failed) return {};
     return RequestCounts{*total, *failed};
 }
 
-/// The fields of a message `outcomes`, before ids replace the names.
+/// The fields of an `outcomes` message, with names that are not yet replaced by ids.
 struct OutcomeFields {
     std::string_view zone;
     std::string_view endpoint;
@@ -49,38 +49,39 @@
 std::optional<OutcomeFields> readOutcomes(const Message& message) {
     const auto zone = message.find("zone");
     const auto endpoint = message.find("server");
-    const auto attempts = requestCountsOf(message);
-    const auto interval = durationOf(message, "span_ms");
+    const auto attempts = readRequestCounts(message);
+    const auto interval = readDuration(message, "span_ms");
     if (!zone || !endpoint || !attempts || !interval || attempts->failed > attempts->total) return {};
-    // Without a success there is no latency to report.
+    // The mean latency is that of successful attempts, and may be missing if there were none.
     const bool hasLatency = message.find("mean_ms") || attempts->total > attempts->failed;
-    const auto meanLatency = hasLatency ? durationOf(message, "mean_ms") : Micros{};
+    const auto meanLatency = hasLatency ? readDuration(message, "mean_ms") : Micros{};
     if (!meanLatency) return {};
     return OutcomeFields{*zone, *endpoint, *attempts, *meanLatency, *interval};
 }
 
-/// The fields of a message `demand`, before ids replace the names.
+/// The fields of a `demand` message, with names that are not yet replaced by ids.
 struct DemandFields {
     std::string_view requestClass;
-    RequestCounts requests; ///< more may have failed than came, since failures count requests of before too
+    RequestCounts requests; ///< `failed` may exceed `total`: it can include requests of earlier intervals
     Micros interval{};
 };
 
 std::optional<DemandFields> readDemand(const Message& message) {
     const auto requestClass = message.find("class");
-    const auto requests = requestCountsOf(message);
-    const auto interval = durationOf(message, "span_ms");
+    const auto requests = readRequestCounts(message);
+    const auto interval = readDuration(message, "span_ms");
     if (!requestClass || !requests || !interval) return {};
     return DemandFields{*requestClass, *requests, *interval};
 }
 
-/// None if the text is not a list of names and numbers, such as `queue:7,util:0.61`.
-std::optional<LoadReport> parseLoadReport(std::string_view text, char nameEnd) {
+/// Parses a list of names and numbers such as `queue:7,util:0.61`, where `separator` is the character between
+/// the name and the number. Returns std::nullopt if an element is invalid. Unknown names are ignored.
+std::optional<LoadReport> parseLoadReport(std::string_view text, char separator) {
     LoadReport report;
     bool valid = true;
-    eachPart(text, ',', [&](std::string_view pair) {
+    forEachToken(text, ',', [&](std::string_view pair) {
         while (pair.starts_with(' ')) pair.remove_prefix(1);
-        const auto end = pair.find(nameEnd);
+        const auto end = pair.find(separator);
         const auto value = end == std::string_view::npos ? std::nullopt : parseNumber(pair.substr(end + 1));
         valid = valid && value && *value <= kMaxLoadValue;
         if (valid) config::setLoadField(pair.substr(0, end), *value, report);
@@ -88,7 +89,8 @@
     return valid ? std::optional(report) : std::nullopt;
 }
 
-/// The body of a probe's response: `TEXT inflight=7, queue=2`, with or without the prefix and a line end.
+/// Parses the body of a probe's response, such as `TEXT inflight=7, queue=2`. The prefix and the line end are
+/// optional.
 std::optional<LoadReport> parseProbeBody(std::string_view body) {
     constexpr std::string_view kPrefix = "TEXT ";
     while (body.ends_with('\n') || body.ends_with('\r')) body.remove_suffix(1);
@@ -109,31 +111,34 @@
                                  Counters& counters, std::uint32_t proxyCount)
     : batches_(batches), updates_(updates), names_(names), counters_(counters), proxyCount_(proxyCount) {}
 
-std::optional<ProxyId> InputTranslator::proxyOf(const Message& message) const {
+std::optional<ProxyId> InputTranslator::readProxy(const Message& message) const {
     const auto proxy = message.count("proxy", kMaxId);
     if (!proxy || *proxy >= proxyCount_) return {};
     return ProxyId{static_cast<std::uint16_t>(*proxy)};
 }
 
-bool InputTranslator::agent(const Message& message) {
+bool InputTranslator::handleAgent(const Message& message) {
     const auto zone = message.find("zone");
     if (!zone || !names_.zone(*zone)) {
-        counters_.recordIgnored(Counter::BadName, "agent of a zone that is not known");
+        counters_.recordIgnored(Counter::BadName, "agent: field 'zone' is missing or names an unknown zone");
         return false;
     }
     counters_.add(Counter::Agents);
     return true;
 }
 
-std::optional<ProxyId> InputTranslator::hello(const Message& message, PushStream& stream) {
-    const auto proxy = proxyOf(message);
+std::optional<ProxyId> InputTranslator::handleHello(const Message& message, PushStream& stream) {
+    const auto proxy = readProxy(message);
     const auto zoneName = message.find("zone");
     const auto zone = zoneName ? names_.zone(*zoneName) : std::nullopt;
     const auto weight = message.number("weight");
     const auto fresh = message.flag("fresh");
     if (!proxy || !zone || !weight || !fresh) {
         const bool unknownZone = proxy && zoneName && !zone;
-        counters_.recordIgnored(unknownZone ? Counter::BadName : Counter::BadField, "hello");
+        if (unknownZone)
+            counters_.recordIgnored(Counter::BadName, "hello: unknown zone '" + std::string(*zoneName) + "'");
+        else
+            counters_.recordIgnored(Counter::BadField, "hello: missing or invalid field");
         return {};
     }
     counters_.add(Counter::Hellos);
@@ -148,44 +153,54 @@
     batches_.openBatch().proxyLeft(proxy);
 }
 
-void InputTranslator::ack(const Message& message, ProxyId proxy, const PushStream& stream) {
-    const auto named = proxyOf(message);
+void InputTranslator::handleAck(const Message& message, ProxyId proxy, const PushStream& stream) {
+    const auto namedProxy = readProxy(message);
     const auto mark = message.count("mark", kMaxId);
-    if (!mark || !named || *named != proxy || !durationOf(message, "took_ms"))
-        return counters_.recordIgnored(Counter::BadField, "ack");
+    if (!mark || !namedProxy || *namedProxy != proxy || !readDuration(message, "took_ms"))
+        return counters_.recordIgnored(Counter::BadField,
+                                       "ack: missing or invalid field, or not this stream's proxy");
     if (!updates_.ownsSession(proxy, stream)) return counters_.add(Counter::Stale);
     const BarrierId barrier{static_cast<std::uint16_t>(*mark)};
     if (!updates_.barrierAcknowledged(proxy, barrier))
-        return counters_.recordIgnored(Counter::BadMark, "no such mark waits for its answer");
+        return counters_.recordIgnored(Counter::BadMark, "ack: no unacknowledged message has this mark");
     counters_.add(Counter::Acks);
     batches_.openBatch().barrierAcknowledged(proxy, barrier);
 }
 
-void InputTranslator::outcomes(const Message& message) {
+void InputTranslator::handleOutcomes(const Message& message) {
     const auto fields = readOutcomes(message);
-    if (!fields) return counters_.recordIgnored(Counter::BadField, "outcomes");
+    if (!fields) return counters_.recordIgnored(Counter::BadField, "outcomes: missing or invalid field");
     const auto zone = names_.zone(fields->zone);
     const auto endpoint = names_.endpoint(fields->endpoint);
-    if (!zone || !endpoint) return counters_.recordIgnored(Counter::BadName, fields->endpoint);
+    if (!zone || !endpoint)
+        return counters_.recordIgnored(Counter::BadName, "outcomes: unknown zone '" +
+                                                             std::string(fields->zone) + "' or endpoint '" +
+                                                             std::string(fields->endpoint) + "'");
     EndpointLoadReport report{
         *endpoint,        *zone, fields->attempts.total, fields->attempts.failed, fields->meanLatency,
         fields->interval, {}};
     if (const auto text = message.find("load")) {
         const auto load = parseLoadReport(*text, ':');
-        if (!load) return counters_.recordIgnored(Counter::BadField, *text);
+        if (!load)
+            return counters_.recordIgnored(Counter::BadField,
+                                           "outcomes: invalid load report '" + std::string(*text) + "'");
         report.load = *load;
     }
     counters_.add(Counter::Outcomes);
     batches_.openBatch().reportLoad(report);
 }
 
-void InputTranslator::demand(const Message& message, std::optional<ProxyId> sender) {
-    const auto proxy = proxyOf(message);
+void InputTranslator::handleDemand(const Message& message, std::optional<ProxyId> sender) {
+    const auto proxy = readProxy(message);
     const auto fields = readDemand(message);
-    const bool ofAnotherProxy = sender && proxy && *sender != *proxy;
-    if (!proxy || ofAnotherProxy || !fields) return counters_.recordIgnored(Counter::BadField, "demand");
+    const bool namesAnotherProxy = sender && proxy && *sender != *proxy;
+    if (!proxy || namesAnotherProxy || !fields)
+        return counters_.recordIgnored(Counter::BadField,
+                                       "demand: missing or invalid field, or not this stream's proxy");
     const auto requestClass = names_.requestClass(fields->requestClass);
-    if (!requestClass) return counters_.recordIgnored(Counter::BadName, fields->requestClass);
+    if (!requestClass)
+        return counters_.recordIgnored(Counter::BadName, "demand: unknown request class '" +
+                                                             std::string(fields->requestClass) + "'");
     counters_.add(Counter::Demands);
     batches_.openBatch().reportDemand(
         {*proxy, *requestClass, fields->requests.total, fields->requests.failed, fields->interval});
@@ -197,7 +212,7 @@
     for (std::size_t k = 0; k < members.size(); ++k) {
         const auto parsed = parseEndpointEntry(members[k], names_);
         if (const auto* invalid = std::get_if<InvalidField>(&parsed)) {
-            ignoreEntry(k, members[k], invalid->name);
+            recordInvalidEntry(k, members[k], invalid->name);
             allValid = false;
             continue;
         }
@@ -215,11 +230,11 @@
     return allValid;
 }
 
-void InputTranslator::ignoreEntry(std::size_t index, const json::Value& member,
-                                  std::string_view invalidField) {
+void InputTranslator::recordInvalidEntry(std::size_t index, const json::Value& member,
+                                         std::string_view invalidField) {
     std::string text = "members[" + std::to_string(index) + "]";
     if (const auto* name = json::textOf(member, "id")) text += " '" + *name + "'";
-    text.append(": the field ").append(invalidField).append(" can't be used");
+    text.append(": field '").append(invalidField).append("' is missing or invalid");
     counters_.recordIgnored(Counter::BadEntry, text);
 }
 
@@ -227,7 +242,9 @@
                                      std::string_view body) {
     counters_.add(counterOf(status));
     const auto load = parseProbeBody(body);
-    if (!load) counters_.recordIgnored(Counter::BadField, "load of a probe");
+    if (!load)
+        counters_.recordIgnored(Counter::BadField,
+                                "probe response: load report expected, such as 'inflight=7, queue=2'");
     batches_.openBatch().probeCompleted({endpoint, status, latency, load.value_or(LoadReport{})});
 }
 
--- a/src/platform/input_translator.h
+++ b/src/platform/input_translator.h
@@ -1,5 +1,5 @@
-// Translates what arrives from proxies, collectors, discovery and probes into the planner's inputs: validates it,
-// replaces names by ids and passes it on within an open batch. An invalid message is counted and ignored as a whole.
+// Translates messages from proxies and collectors, endpoint lists from service discovery and results of
+// probes into inputs of the planner.
 #pragma once
 
 #include <optional>
@@ -14,32 +14,38 @@
 
 namespace zincstack::net {
 
+/// Validates each input, replaces names by ids and passes it to the planner within an open batch. An invalid
+/// message is counted and ignored as a whole.
 class InputTranslator {
 public:
     InputTranslator(BatchRunner& batches, UpdateQueue& updates, NameRegistry& names, Counters& counters,
                     std::uint32_t proxyCount);
 
-    // Messages of the platform protocol, by kind.
+    // One function for each message kind of the platform protocol.
 
-    /// False if the message is invalid.
-    bool agent(const Message& message);
-    /// The proxy whose session the stream has become; none if the message is invalid.
-    std::optional<ProxyId> hello(const Message& message, PushStream& stream);
-    void ack(const Message& message, ProxyId proxy, const PushStream& stream);
-    void outcomes(const Message& message);
-    /// `sender`: the proxy on whose stream the message came; none if a collector sent it.
-    void demand(const Message& message, std::optional<ProxyId> sender);
+    /// Returns false if the message is invalid.
+    bool handleAgent(const Message& message);
+    /// Makes the stream the session of the proxy and returns the proxy. Returns std::nullopt if the message
+    /// is invalid.
+    std::optional<ProxyId> handleHello(const Message& message, PushStream& stream);
+    /// `proxy`: the proxy that joined on the stream.
+    void handleAck(const Message& message, ProxyId proxy, const PushStream& stream);
+    void handleOutcomes(const Message& message);
+    /// `sender`: the proxy that sent the message; std::nullopt if a collector sent it.
+    void handleDemand(const Message& message, std::optional<ProxyId> sender);
 
-    /// The stream of a proxy has ended. Ignored if the proxy has a newer one.
+    /// Called when a proxy's stream has ended. Ignored if the proxy has opened a newer stream.
     void streamClosed(ProxyId proxy, const PushStream& stream);
-    /// False if some entry is invalid. The valid ones are passed on nevertheless, then at most as a delta, since an
-    /// endpoint that seems missing from a snapshot may be one that can't be read.
+    /// Returns false if any entry is invalid. The valid entries are still passed on, but a snapshot then
+    /// becomes a delta, because an endpoint that seems to be missing from it may be the one in the invalid
+    /// entry.
     bool updateEndpoints(EndpointListUpdate kind, const json::Value& members);
+    /// `body`: the body of the response, which may contain a load report.
     void probeCompleted(EndpointId endpoint, ProbeStatus status, Micros latency, std::string_view body);
 
 private:
-    std::optional<ProxyId> proxyOf(const Message& message) const;
-    void ignoreEntry(std::size_t index, const json::Value& member, std::string_view invalidField);
+    std::optional<ProxyId> readProxy(const Message& message) const;
+    void recordInvalidEntry(std::size_t index, const json::Value& member, std::string_view invalidField);
 
     BatchRunner& batches_;
     UpdateQueue& updates_;
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -24,7 +24,7 @@
 std::optional<Message> parseMessage(std::string_view line) {
     Message message;
     bool valid = true;
-    eachPart(line, ' ', [&](std::string_view word) {
+    forEachToken(line, ' ', [&](std::string_view word) {
         const auto equals = word.find('=');
         if (message.kind.empty())
             message.kind = word;
--- a/src/platform/message.h
+++ b/src/platform/message.h
@@ -1,4 +1,4 @@
-// Parses the lines of the platform protocol: a kind of message, and fields of the form name=value.
+// Parses the lines of the platform protocol: a message kind followed by fields of the form name=value.
 #pragma once
 
 #include <optional>
@@ -9,7 +9,8 @@
 
 namespace zincstack::net {
 
-/// Refers to the line that it was parsed from. The typed accessors return none if the field is missing or invalid.
+/// A parsed line. Its views refer to the line, which must outlive it. The typed accessors return std::nullopt
+/// if the field is missing or invalid.
 struct Message {
     struct Field {
         std::string_view name;
@@ -19,24 +20,28 @@
     std::vector<Field> fields;
 
     std::optional<std::string_view> find(std::string_view name) const;
-    std::optional<double> number(std::string_view name) const; ///< finite and not negative
+    /// A finite, non-negative number.
+    std::optional<double> number(std::string_view name) const;
+    /// An integer from 0 to `max`.
     std::optional<std::uint32_t> count(std::string_view name, std::uint32_t max) const;
+    /// A duration that the field states in milliseconds, with or without a fraction.
     std::optional<Micros> millis(std::string_view name) const;
-    std::optional<bool> flag(std::string_view name) const; ///< 0 or 1
+    /// 0 or 1.
+    std::optional<bool> flag(std::string_view name) const;
 };
 
-/// None if the line is empty or a field has no name or no '='.
+/// Returns std::nullopt if the line contains no word, or if a field has no name or no '='.
 std::optional<Message> parseMessage(std::string_view line);
 
-/// None unless all of the text is one finite number that is not negative.
+/// Returns std::nullopt unless the complete text is one finite, non-negative number.
 std::optional<double> parseNumber(std::string_view text);
 
-/// Splits at `separator` and calls `handlePart` for each part that is not empty.
+/// Splits the text at each `separator` and calls `handleToken` for each non-empty token.
 template <class Handler>
-void eachPart(std::string_view text, char separator, const Handler& handlePart) {
+void forEachToken(std::string_view text, char separator, const Handler& handleToken) {
     while (!text.empty()) {
         const auto end = text.find(separator);
-        if (const auto part = text.substr(0, end); !part.empty()) handlePart(part);
+        if (const auto token = text.substr(0, end); !token.empty()) handleToken(token);
         text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
     }
 }
--- a/src/platform/peer_session.cpp
+++ b/src/platform/peer_session.cpp
@@ -2,17 +2,18 @@
 
 #include <algorithm>
 #include <iterator>
+#include <string>
 #include <utility>
 
 namespace zincstack::net {
 
 namespace {
 
-/// Enough for `agent` and `hello`; a peer that is not identified gets no more memory than that.
+/// Bounds the memory used for a peer that has not identified itself. Enough for `agent` and `hello`.
 constexpr std::size_t kMaxUnidentifiedLineBytes = 1024;
 
-/// The protocol's kinds of messages, in the order of PeerSession::Input. Those after `demand` are never sent to a
-/// planner, or not on this connection.
+/// The message kinds of the protocol, in the order of PeerSession::Input. The kinds after `demand` are not
+/// valid as input on this connection; all of them map to Input::OtherMessage.
 constexpr std::string_view kMessageKinds[] = {"probe", "agent", "hello", "ack",  "outcomes", "demand", "push",
                                               "alive", "error", "hot",   "line", "lease",    "bye"};
 
@@ -22,7 +23,7 @@
 
 } // namespace
 
-/// The first transition that matches the state and the input applies.
+/// The first entry that matches the state and the input applies.
 const PeerSession::Transition PeerSession::kTransitions[] = {
     {State::Any, Input::Probe, State::Any, Action::AnswerProbe},
     {State::Unidentified, Input::Agent, State::Collector, Action::IdentifyCollector},
@@ -47,24 +48,26 @@
     const auto maxLineBytes = [this] { return isUnidentified() ? kMaxUnidentifiedLineBytes : kMaxLineBytes; };
     switch (framer_.feed(bytes, maxLineBytes, [this](std::string_view line) { return handleLine(line); })) {
     case LineFramer::Outcome::Going: {
-        // A line that can't become a message is not waited for.
+        // Rejects a line that cannot become a message without waiting for its end.
         const auto kind = framer_.unfinishedLine().substr(0, framer_.unfinishedLine().find_first_of(" \r"));
         return beginsMessageKind(kind) || handleUnreadable(kind);
     }
     case LineFramer::Outcome::Stopped: return false;
-    case LineFramer::Outcome::Unreadable: return handleUnreadable("bytes that are no text");
+    case LineFramer::Outcome::Unreadable:
+        return handleUnreadable("control characters or invalid UTF-8 bytes");
     case LineFramer::Outcome::TooLong:
-        counters_.recordIgnored(Counter::TooLong, "a line over its limit");
-        return handleUnreadable("no end of a line");
+        counters_.recordIgnored(Counter::TooLong,
+                                "line longer than " + std::to_string(maxLineBytes()) + " bytes");
+        return handleUnreadable("line too long");
     case LineFramer::Outcome::OutOfBuffers:
-        counters_.recordIgnored(Counter::NoRoom, "no buffer is left for a line");
-        return handleUnreadable("no room");
+        counters_.recordIgnored(Counter::NoRoom, "no buffer left for an unfinished line");
+        return handleUnreadable("no buffer left");
     }
     return false;
 }
 
 bool PeerSession::joinDeadlineExpired() {
-    return handle(Input::JoinDeadline, {}, "nothing that joins within its time");
+    return handle(Input::JoinDeadline, {}, "peer did not identify itself in time");
 }
 
 void PeerSession::connectionClosed() {
@@ -87,7 +90,7 @@
 
 bool PeerSession::handleUnreadable(std::string_view text) { return handle(Input::Unreadable, {}, text); }
 
-/// False: no more input is accepted.
+/// Applies the transition for the input. Returns false if no more input is accepted.
 bool PeerSession::handle(Input input, const Message& message, std::string_view text) {
     const auto* const transition = std::ranges::find_if(kTransitions, [&](const Transition& candidate) {
         return (candidate.input == input || candidate.input == Input::Any) &&
@@ -98,16 +101,16 @@
     return isOpen();
 }
 
-/// False if the message is invalid.
+/// Returns false if an `agent` or `hello` is invalid. Other invalid messages are only counted and ignored.
 bool PeerSession::perform(Action action, const Message& message, std::string_view text) {
     switch (action) {
     case Action::None: return true;
     case Action::AnswerProbe: answerProbe_(); return true;
-    case Action::IdentifyCollector: return inputs_.agent(message);
-    case Action::JoinProxy: proxy_ = inputs_.hello(message, stream_); return proxy_.has_value();
-    case Action::AcknowledgeBarrier: inputs_.ack(message, *proxy_, stream_); return true;
-    case Action::ReportLoad: inputs_.outcomes(message); return true;
-    case Action::ReportDemand: inputs_.demand(message, proxy_); return true;
+    case Action::IdentifyCollector: return inputs_.handleAgent(message);
+    case Action::JoinProxy: proxy_ = inputs_.handleHello(message, stream_); return proxy_.has_value();
+    case Action::AcknowledgeBarrier: inputs_.handleAck(message, *proxy_, stream_); return true;
+    case Action::ReportLoad: inputs_.handleOutcomes(message); return true;
+    case Action::ReportDemand: inputs_.handleDemand(message, proxy_); return true;
     case Action::IgnoreMessage: counters_.recordIgnored(Counter::OutOfPlace, text); return true;
     case Action::Reject: counters_.recordIgnored(Counter::RefusedStranger, text); return true;
     case Action::Close: counters_.recordIgnored(Counter::Unreadable, text); return true;
--- a/src/platform/peer_session.h
+++ b/src/platform/peer_session.h
@@ -1,5 +1,5 @@
-// The planner's side of one connection of the platform protocol: a state machine that frames and checks what the peer
-// sends and passes it to the InputTranslator. It is fed bytes and knows no socket.
+// The planner's side of one connection of the platform protocol: a state machine that splits the received
+// bytes into messages, checks them and passes them to the InputTranslator. It performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,28 +14,34 @@
 
 namespace zincstack::net {
 
+/// The state of one connection. A peer identifies itself as a collector with `agent`, or as a proxy with
+/// `hello`; before that no other message than `probe` is accepted.
 class PeerSession {
 public:
-    /// `answerProbe` is called for each `probe` of the peer.
+    /// `answerProbe` is called for each `probe` message of the peer.
     PeerSession(InputTranslator& inputs, Counters& counters, BufferPool& pool, PushStream& stream,
                 std::function<void()> answerProbe);
 
-    /// False: no more input is accepted, and the connection is to be closed.
+    /// Processes received bytes. Returns false if no more input is accepted and the connection must be
+    /// closed.
     bool feed(std::string_view bytes);
-    /// The time to identify itself is over. False if the peer has not done so.
+    /// Called when the time for the peer to identify itself has passed. Returns false if it has not done so
+    /// and the connection must be closed.
     bool joinDeadlineExpired();
+    /// Called when the connection has ended.
     void connectionClosed();
 
-    /// The proxy whose stream this is; none for a collector, and before `hello`.
+    /// The proxy at the other end; std::nullopt for a collector and before a valid `hello`.
     std::optional<ProxyId> proxy() const { return proxy_; }
     /// Whether the peer has not yet identified itself as a collector or a proxy.
     bool isUnidentified() const { return state_ == State::Unidentified; }
-    /// Whether the peer was rejected instead of identified; it is sent `error` before the close.
+    /// Whether the peer was rejected because it did not identify itself. It receives `error` before the
+    /// connection is closed.
     bool isRejected() const { return state_ == State::Rejected; }
 
 private:
     enum class State : std::uint8_t { Unidentified, Collector, ProxyStream, Rejected, Closed, Any };
-    /// What happens on the connection. The kinds of messages come first, in the order of kMessageKinds.
+    /// Inputs of the state machine. The message kinds come first, in the order of kMessageKinds.
     enum class Input : std::uint8_t {
         Probe,
         Agent,
@@ -44,8 +50,8 @@
         Outcomes,
         Demand,
         OtherMessage,
-        InvalidMessage, ///< of a known kind, but not usable
-        Unreadable,
+        InvalidMessage, ///< `agent` or `hello` with missing or invalid fields
+        Unreadable,     ///< no message of a known kind, or a line that cannot be buffered
         JoinDeadline,
         Any
     };
@@ -64,7 +70,7 @@
     struct Transition {
         State state;
         Input input;
-        State next; ///< Any: the state stays
+        State next; ///< Any: the state is unchanged
         Action action;
     };
     static const Transition kTransitions[];
