--- a/src/platform/pending_update.cpp
+++ b/src/platform/pending_update.cpp
@@ -9,7 +9,7 @@
 
 bool removesEndpoint(const routing::EndpointWeights::value_type& entry) { return entry.second <= 0; }
 
-/// Moves the entries that remove an endpoint out of the weights.
+/// Moves the entries that remove an endpoint out of `weights` and returns them.
 routing::EndpointWeights takeRemovals(routing::EndpointWeights& weights) {
     routing::EndpointWeights removals;
     for (const auto& entry : weights)
@@ -27,15 +27,15 @@
 }
 
 void PendingUpdate::exclusionChanged(EndpointId endpoint, bool excluded) {
-    // Until its next table is written the proxy uses the one before, which may name any endpoint.
-    const bool usesFormerTable = excluded && hasTable_ && replacesAnyTable();
-    if (usesFormerTable || state_.mayRouteTo(proxy_, endpoint)) setExcluded(endpoint, excluded);
+    // Until the pending table is written, the proxy uses the previous one, which may contain any endpoint.
+    const bool usesPreviousTable = excluded && hasWrittenTable_ && replacesAnyTable();
+    if (usesPreviousTable || state_.mayRouteTo(proxy_, endpoint)) setExcluded(endpoint, excluded);
 }
 
 void PendingUpdate::setExcluded(EndpointId endpoint, bool excluded) {
-    const auto ordered = orderedExclusions_.find(endpoint);
-    if (ordered != orderedExclusions_.end() && ordered->second == excluded) return;
-    orderedExclusions_[endpoint] = excluded;
+    const auto previous = lastExclusionState_.find(endpoint);
+    if (previous != lastExclusionState_.end() && previous->second == excluded) return;
+    lastExclusionState_[endpoint] = excluded;
     (excluded ? readmissions_ : exclusions_).erase(endpoint);
     (excluded ? exclusions_ : readmissions_).insert(endpoint);
 }
@@ -48,17 +48,19 @@
         if (!routing::contains(requestClasses, requestClass)) continue;
         if (!table && assigned.empty())
             fleetWideAdmission_[requestClass] = state_.fleetWideAdmission().at(requestClass);
-        for (const TableId own : assigned) {
+        for (const TableId assignedTable : assigned) {
             const bool affected =
-                table ? own == *table : routing::contains(state_.table(own).requestClasses, requestClass);
+                table ? assignedTable == *table
+                      : routing::contains(state_.table(assignedTable).requestClasses, requestClass);
             if (affected)
-                tables_[own].admission[requestClass] = *state_.effectiveAdmission(own, requestClass);
+                tables_[assignedTable].admission[requestClass] =
+                    *state_.effectiveAdmission(assignedTable, requestClass);
         }
     }
 }
 
 void PendingUpdate::endpointForgotten(EndpointId endpoint) {
-    orderedExclusions_.erase(endpoint);
+    lastExclusionState_.erase(endpoint);
     exclusions_.erase(endpoint);
     readmissions_.erase(endpoint);
     for (auto& [table, update] : tables_) update.weights.erase(endpoint);
@@ -69,7 +71,7 @@
     for (const TableId table : state_.tablesOf(proxy_))
         for (const auto& [endpoint, weight] : state_.table(table).weights) {
             if (cleared == maxEndpoints) return true;
-            if (orderedExclusions_.contains(endpoint)) continue;
+            if (lastExclusionState_.contains(endpoint)) continue;
             if (state_.excludedEndpoints().contains(endpoint)) continue;
             setExcluded(endpoint, false);
             ++cleared;
@@ -78,9 +80,9 @@
 }
 
 void PendingUpdate::resynchronize() {
-    hasTable_ = false;
+    hasWrittenTable_ = false;
     const std::set<EndpointId>& excluded = state_.excludedEndpoints();
-    for (const auto& [endpoint, before] : std::exchange(orderedExclusions_, {}))
+    for (const auto& [endpoint, wasExcluded] : std::exchange(lastExclusionState_, {}))
         setExcluded(endpoint, excluded.contains(endpoint));
     for (const TableId table : state_.tablesOf(proxy_)) tables_[table].replacesTable = true;
     for (const EndpointId endpoint : excluded)
@@ -100,7 +102,7 @@
         }
         reconcileExclusions(update.replacesTable ? desired.weights : update.weights);
     }
-    if (!hasTable_ && replaced == state_.allRequestClasses()) dropSuperfluousExclusions();
+    if (!hasWrittenTable_ && replaced == state_.allRequestClasses()) dropRedundantExclusions();
 }
 
 routing::AdmissionLimits PendingUpdate::effectiveAdmission(TableId table,
@@ -115,22 +117,24 @@
     return limits;
 }
 
-/// Corrects what the proxy may believe wrongly of the endpoints that it is about to use, because of an earlier change on
-/// this stream or under an endpoint's former id.
+/// Corrects the exclusion state that the proxy may have for the endpoints that it is about to use. It may be
+/// outdated because of an earlier change on this stream, or because of an exclusion under the endpoint's
+/// former id.
 void PendingUpdate::reconcileExclusions(const routing::EndpointWeights& weights) {
     for (const auto& [endpoint, weight] : weights) {
         if (weight <= 0) continue;
         const bool excluded = state_.excludedEndpoints().contains(endpoint);
-        if (excluded || orderedExclusions_.contains(endpoint) || names_.wasForgotten(endpoint))
+        if (excluded || lastExclusionState_.contains(endpoint) || names_.wasForgotten(endpoint))
             setExcluded(endpoint, excluded);
     }
 }
 
-/// The first tables of a stream cover all request classes: who is not named in them needs no exclusion.
-void PendingUpdate::dropSuperfluousExclusions() {
+/// Called when the first tables of a stream cover all request classes: an endpoint that is in none of them
+/// needs no exclusion.
+void PendingUpdate::dropRedundantExclusions() {
     std::erase_if(exclusions_, [&](EndpointId endpoint) {
         if (state_.mayRouteTo(proxy_, endpoint)) return false;
-        orderedExclusions_.erase(endpoint);
+        lastExclusionState_.erase(endpoint);
         return true;
     });
 }
@@ -145,7 +149,7 @@
     if (!exclusions_.empty()) return true;
     return std::ranges::any_of(tables_, [&](const auto& entry) {
         const TableUpdate& update = entry.second;
-        if (update.replacesTable) return !hasTable_;
+        if (update.replacesTable) return !hasWrittenTable_;
         return std::ranges::any_of(update.weights, removesEndpoint);
     });
 }
@@ -168,7 +172,7 @@
     constexpr std::size_t kReplaceLines = 1;
     const bool urgentOnly = scope == UpdateScope::UrgentOnly;
     if (update.replacesTable) {
-        if (urgentOnly && hasTable_) return 0;
+        if (urgentOnly && hasWrittenTable_) return 0;
         return kReplaceLines + state_.table(table).weights.size() + countAdmissionLines(update.admission);
     }
     if (urgentOnly) return static_cast<std::size_t>(std::ranges::count_if(update.weights, removesEndpoint));
@@ -177,10 +181,10 @@
 
 PushMessage PendingUpdate::takeMessage(UpdateScope scope) {
     PushMessage message;
-    const bool isFirstTable = !hasTable_;
+    const bool isFirstTable = !hasWrittenTable_;
     for (auto& [table, update] : tables_) {
         TableUpdate taken = takeTable(table, update, scope, isFirstTable);
-        hasTable_ |= taken.replacesTable;
+        hasWrittenTable_ |= taken.replacesTable;
         if (!taken.empty()) message.tables.push_back(std::move(taken));
     }
     std::erase_if(tables_, [](const auto& entry) { return entry.second.empty(); });
--- a/src/platform/pending_update.h
+++ b/src/platform/pending_update.h
@@ -1,6 +1,4 @@
-// What has been ordered for one proxy and is not written on its stream yet. Later changes merge with earlier ones, so
-// that the next message holds only the latest desired state. Also remembers which exclusions were ordered on the
-// stream, so that none is repeated.
+// The changes of one proxy's desired state that have not been written to its stream yet.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +12,35 @@
 
 namespace zincstack::net {
 
-/// What a message is to contain if the channel has too little capacity for all that is pending: exclusions, removed
-/// endpoints and the first table on the stream are urgent.
+/// Which of the pending changes a message contains. Only the urgent ones are sent if the channel lacks
+/// capacity for all: exclusions, removed endpoints and the first table on the stream.
 enum class UpdateScope : std::uint8_t { Complete, UrgentOnly };
 
+/// Merges later changes with earlier ones, so that the next message contains only the latest desired state.
+/// Also records which exclusions and readmissions were queued on the stream, so that none is sent twice.
 class PendingUpdate {
 public:
     PendingUpdate(ProxyId proxy, const routing::RoutingState& state, const NameRegistry& names)
         : proxy_(proxy), state_(state), names_(names) {}
 
-    // Changes of the desired state. Those that don't concern the proxy are ignored.
+    // Changes of the desired state. Changes that do not affect the proxy are ignored.
 
     void weightChanged(TableId table, EndpointId endpoint, double weight);
     void tableAssigned(TableId table) { tables_[table].replacesTable = true; }
     void exclusionChanged(EndpointId endpoint, bool excluded);
+    /// Without a table the change is fleet-wide.
     void admissionChanged(std::optional<TableId> table, RequestClassSet requestClasses);
     void barrierRequested(BarrierId barrier) { barrier_ = barrier; }
     void endpointForgotten(EndpointId endpoint);
-    /// Readmits endpoints of the proxy's tables about which nothing was ordered on this stream, at most
-    /// `maxEndpoints`. False if there are none.
+    /// Readmits up to `maxEndpoints` endpoints of the proxy's tables that are not excluded and whose
+    /// exclusion state was not set on this stream: the proxy may still exclude them because of an earlier
+    /// stream. Returns false if there are none.
     bool clearStaleExclusions(std::size_t maxEndpoints);
-    /// Schedules the complete desired state, because what the proxy has received is not known.
+    /// Marks the complete desired state as pending, because it is not known what the proxy has received.
     void resynchronize();
-    /// Adapts the pending changes to the present desired state: drops tables that are not assigned any more, and
-    /// exclusions that a replaced table makes superfluous.
+    /// Adapts the pending changes to the current desired state: drops tables that are no longer assigned,
+    /// corrects outdated exclusions of the endpoints in pending tables, and drops exclusions that replacing
+    /// the tables makes redundant.
     void reconcile();
 
     // The next message.
@@ -46,14 +49,16 @@
         return !tables_.empty() || !fleetWideAdmission_.empty() || !exclusions_.empty() ||
                !readmissions_.empty();
     }
-    /// Whether a rule with a deadline applies: exclusions, removed endpoints, the first table on the stream.
+    /// Whether changes with a deadline are pending: exclusions, removed endpoints or the first table on the
+    /// stream.
     bool isUrgent() const;
-    /// Whether the endpoint's exclusion, or any change of its weight, is pending.
+    /// Whether the removal of the endpoint may be pending: its exclusion, or any change of its weight.
     bool mayRemove(EndpointId endpoint) const;
     const std::optional<BarrierId>& barrier() const { return barrier_; }
-    /// Lines of the message as the protocol counts them, including its overhead and barrier.
+    /// Number of lines of the next message as the protocol counts them, including its overhead and barrier.
     std::size_t countLines(UpdateScope scope) const;
-    /// Moves the pending changes of the scope into a message. The barrier stays until `barrierWritten`.
+    /// Moves the pending changes of the scope into a message. The barrier stays pending until
+    /// `barrierWritten`.
     PushMessage takeMessage(UpdateScope scope);
     void barrierWritten() { barrier_.reset(); }
 
@@ -62,7 +67,7 @@
     bool replacesAnyTable() const;
     routing::AdmissionLimits effectiveAdmission(TableId table, RequestClassSet requestClasses) const;
     void reconcileExclusions(const routing::EndpointWeights& weights);
-    void dropSuperfluousExclusions();
+    void dropRedundantExclusions();
     std::size_t countLines(TableId table, const TableUpdate& update, UpdateScope scope) const;
     TableUpdate takeTable(TableId table, TableUpdate& update, UpdateScope scope, bool isFirstTable) const;
 
@@ -71,14 +76,15 @@
     const NameRegistry& names_;
 
     std::map<TableId, TableUpdate> tables_;
-    routing::AdmissionLimits fleetWideAdmission_; ///< ordered while no table is assigned
+    routing::AdmissionLimits fleetWideAdmission_; ///< changed while no table is assigned
     std::set<EndpointId> exclusions_;
     std::set<EndpointId> readmissions_;
     std::optional<BarrierId> barrier_;
 
-    /// Whether an endpoint was last excluded or readmitted on this stream. Absent: as earlier streams left it.
-    std::map<EndpointId, bool> orderedExclusions_;
-    bool hasTable_ = false; ///< a complete table has been written on this stream
+    /// The exclusion state that was last queued on this stream: true if excluded, false if readmitted. The
+    /// state of endpoints without an entry is the one that earlier streams left.
+    std::map<EndpointId, bool> lastExclusionState_;
+    bool hasWrittenTable_ = false; ///< a complete table has been written on this stream
 };
 
 } // namespace zincstack::net
--- a/src/platform/update_queue.cpp
+++ b/src/platform/update_queue.cpp
@@ -97,8 +97,9 @@
 
 // ---- writing ----------------------------------------------------------------------------------------------
 
-/// Every session that has something to write, urgent ones first, then the oldest.
-std::vector<UpdateQueue::Candidate> UpdateQueue::candidatesInOrder() {
+/// Returns the sessions that have something to write, urgent ones first, then the oldest. Before that,
+/// resynchronizes the proxies that have caught up and adapts pending updates to the current desired state.
+std::vector<UpdateQueue::Candidate> UpdateQueue::prepareCandidates() {
     std::vector<Candidate> candidates;
     for (auto& [proxy, session] : sessions_) {
         PendingUpdate& pending = session.pending;
@@ -120,8 +121,9 @@
 void UpdateQueue::flush() {
     deferredLines_ = 0;
     needsBarrier_ = false;
-    std::optional<Urgency> fullFor; // the channel has no capacity for this urgency or less
-    for (const Candidate& candidate : candidatesInOrder()) {
+    // The highest urgency for which the channel was found full; updates that are no more urgent wait too.
+    std::optional<Urgency> fullFor;
+    for (const Candidate& candidate : prepareCandidates()) {
         Session& session = sessions_.at(candidate.proxy);
         const bool mayFit = !fullFor || candidate.urgency < *fullFor;
         const WriteResult result =
@@ -130,14 +132,15 @@
             fullFor = fullFor ? std::min(*fullFor, candidate.urgency) : candidate.urgency;
         if (!session.pending.hasChanges()) continue;
         needsBarrier_ |= !session.pending.barrier();
-        // What waits for its own proxy is no load on the channel: one unresponsive proxy must not delay others.
+        // Updates that wait for their own proxy do not count as load on the channel, because one unresponsive
+        // proxy must not delay the others.
         if (result != WriteResult::ProxyBlocked)
             deferredLines_ += session.pending.countLines(UpdateScope::Complete);
     }
     updateStatistics();
 }
 
-/// Writes all that is pending or, if the channel lacks capacity for it, only what is urgent.
+/// Writes the complete pending update or, if the channel lacks capacity for it, only the urgent changes.
 UpdateQueue::WriteResult UpdateQueue::write(ProxyId proxy, Session& session, Urgency urgency) {
     const WriteResult result = write(proxy, session, urgency, UpdateScope::Complete);
     if (result != WriteResult::ChannelFull || urgency != Urgency::Deadline) return result;
@@ -147,7 +150,7 @@
 UpdateQueue::WriteResult UpdateQueue::write(ProxyId proxy, Session& session, Urgency urgency,
                                             UpdateScope scope) {
     PendingUpdate& pending = session.pending;
-    // Only the acknowledgement of a barrier returns the credit.
+    // A message needs a barrier, because only the barrier's acknowledgement returns the message's credit.
     if (!pending.barrier()) return WriteResult::ProxyBlocked;
     const BarrierId barrier = *pending.barrier();
     const std::size_t lines = pending.countLines(scope);
--- a/src/platform/update_queue.h
+++ b/src/platform/update_queue.h
@@ -1,6 +1,4 @@
-// The transport for proxies on push streams of the platform protocol. Keeps one pending update per proxy and writes
-// it, as one message, as soon as the control channel has capacity: urgent updates first, then the oldest. Messages
-// are never queued; what has to wait merges with later changes.
+// The transport that delivers routing updates on push streams of the platform protocol.
 #pragma once
 
 #include <cstdint>
@@ -17,6 +15,9 @@
 
 namespace zincstack::net {
 
+/// Keeps one pending update per proxy and writes it, as one message, as soon as the control channel has
+/// capacity: urgent updates first, then the oldest. Encoded messages are never queued here; changes that have
+/// to wait merge with later ones.
 class UpdateQueue final : public routing::UpdateTransport {
 public:
     UpdateQueue(routing::RoutingState& state, const NameRegistry& names, Counters& counters);
@@ -24,12 +25,13 @@
     UpdateQueue(const UpdateQueue&) = delete;
     UpdateQueue& operator=(const UpdateQueue&) = delete;
 
-    /// The stream becomes the proxy's session in place of any earlier one. True if there was one.
+    /// Makes the stream the proxy's session and replaces any earlier one. Returns whether there was one.
     bool sessionOpened(ProxyId proxy, ZoneId zone, PushStream& stream);
-    /// False, without effect, unless the stream is the proxy's session.
+    /// Ends the proxy's session. Returns false, without effect, if the stream is not the proxy's session.
     bool sessionClosed(ProxyId proxy, const PushStream& stream);
+    /// Whether the stream is the proxy's current session.
     bool ownsSession(ProxyId proxy, const PushStream& stream) const;
-    /// False if the proxy has no unacknowledged message with this barrier.
+    /// Returns false if the proxy has no unacknowledged message with this barrier.
     bool barrierAcknowledged(ProxyId proxy, BarrierId barrier);
 
     void weightChanged(TableId table, EndpointId endpoint, double weight) override;
@@ -51,10 +53,16 @@
         PushStream* stream = nullptr;
         PendingUpdate pending;
         std::optional<Micros> pendingSince = {};
-        /// The stream refused a message: the proxy is resynchronized once it has read everything before.
+        /// The stream had no room for a message. The proxy is resynchronized once it has read everything that
+        /// was queued before.
         bool isLagging = false;
     };
-    enum class WriteResult : std::uint8_t { Written, ProxyBlocked, ChannelFull };
+    enum class WriteResult : std::uint8_t {
+        Written,
+        ProxyBlocked, ///< no barrier is pending, or the proxy or its stream takes no more messages now
+        ChannelFull   ///< the control channel has no capacity for a message of this size and urgency
+    };
+    /// A session with something to write, ordered by urgency and then by age.
     struct Candidate {
         Urgency urgency;
         Micros pendingSince;
@@ -62,7 +70,7 @@
         auto operator<=>(const Candidate&) const = default;
     };
 
-    std::vector<Candidate> candidatesInOrder();
+    std::vector<Candidate> prepareCandidates();
     WriteResult write(ProxyId proxy, Session& session, Urgency urgency);
     WriteResult write(ProxyId proxy, Session& session, Urgency urgency, UpdateScope scope);
     void recordWritten(ProxyId proxy, BarrierId barrier, const EncodedPush& encoded, std::size_t lines);
