--- a/tests/capturing_stream.h
+++ b/tests/capturing_stream.h
@@ -1,4 +1,4 @@
-// A proxy's push stream that keeps what is written to it.
+// A push stream that records the bytes written to it.
 #pragma once
 
 #include <string>
@@ -9,9 +9,10 @@
 
 namespace zincstack::tests {
 
+/// Stands for the connection to a proxy.
 struct CapturingStream : net::PushStream {
     std::string received;
-    bool isSlow = false; ///< accepts nothing, as if its buffer were full
+    bool isSlow = false; ///< rejects messages, as if the write queue were full
     bool wasReplaced = false;
 
     bool push(std::string_view bytes) override {
@@ -21,6 +22,7 @@
     bool idle() const override { return !isSlow; }
     void replaced() override { wasReplaced = true; }
 
+    /// Returns the bytes recorded since the last call.
     std::string take() { return std::exchange(received, {}); }
 };
 
--- a/tests/input_translator_test.cpp
+++ b/tests/input_translator_test.cpp
@@ -1,4 +1,5 @@
-// From messages to the planner's inputs: what is translated, and what is counted as invalid and ignored.
+// Tests the translation of messages into inputs of the planner, and that invalid ones are counted and
+// ignored.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -22,14 +23,14 @@
     registerTwoEndpoints();
     EXPECT_EQ(planner.endpointUpdates.at(0).startedAt, 2ms);
     EXPECT_EQ(planner.endpointUpdates.at(1).state, EndpointState::Draining);
-    CapturingStream collectorEnd;
-    CapturingStream proxyEnd;
-    const auto collector = openSession(collectorEnd);
-    const auto stream = openSession(proxyEnd);
-    EXPECT_TRUE(
-        collector->feed("probe\r\nagent zone=b\r\noutcomes zone=b server=s-2 tries=212 failed=3 mean_ms=41.7 "
-                        "span_ms=1000.0 load=queue:7,util:0.61,new:1\r\nprobe\r\ndemand proxy=3 class=order "
-                        "tries=19 failed=0 span_ms=1000.0\r\n"));
+    CapturingStream collectorStream;
+    CapturingStream proxyStream;
+    const auto collectorSession = openSession(collectorStream);
+    const auto proxySession = openSession(proxyStream);
+    EXPECT_TRUE(collectorSession->feed(
+        "probe\r\nagent zone=b\r\noutcomes zone=b server=s-2 tries=212 failed=3 mean_ms=41.7 "
+        "span_ms=1000.0 load=queue:7,util:0.61,new:1\r\nprobe\r\ndemand proxy=3 class=order "
+        "tries=19 failed=0 span_ms=1000.0\r\n"));
     EXPECT_EQ(answeredProbes, 2);
     ASSERT_EQ(planner.loadReports.size(), 1U);
     const EndpointLoadReport report = planner.loadReports[0];
@@ -50,25 +51,25 @@
         {Counter::OutOfPlace, "line proxy=17\r\n"}};
     for (const auto& [counter, text] : messages) {
         const auto before = counters.of(counter);
-        EXPECT_TRUE(stream->feed(text));
+        EXPECT_TRUE(proxySession->feed(text));
         EXPECT_EQ(counters.of(counter), before + 1) << text;
     }
     const std::vector<std::string> expected{"list 2 2", "demand 1 19", "joined 17 zone 1 fresh"};
     EXPECT_EQ(planner.received, expected);
-    EXPECT_TRUE(proxyEnd.received.empty() &&
-                collectorEnd.received.empty()); // nothing is ever written to a collector
+    // Nothing is ever written to a collector.
+    EXPECT_TRUE(proxyStream.received.empty() && collectorStream.received.empty());
 }
 
-/// Fields are named as in the start settings or as in the protocol's examples.
+/// Load fields may have the names used in the start settings or those in the examples of the protocol.
 TEST_F(InputTranslatorTest, AcceptsBothSpellingsOfLoadFields) {
     registerTwoEndpoints();
-    CapturingStream reader;
-    const auto collector = openSession(reader);
-    collector->feed("agent zone=a\r\n");
+    CapturingStream collectorStream;
+    const auto collectorSession = openSession(collectorStream);
+    collectorSession->feed("agent zone=a\r\n");
     for (const std::string_view load :
          {"busy:0.5,q:2,rif:3,lat_ms:4", "util:0.5,queue:2,inflight:3,latency_ms:4"}) {
-        collector->feed("outcomes zone=a server=s-1 tries=1 failed=0 mean_ms=1 span_ms=1 load=" +
-                        std::string(load) + "\r\n");
+        collectorSession->feed("outcomes zone=a server=s-1 tries=1 failed=0 mean_ms=1 span_ms=1 load=" +
+                               std::string(load) + "\r\n");
         const LoadReport& report = planner.loadReports.back().load;
         EXPECT_EQ(report.utilization, 0.5);
         EXPECT_EQ(report.queueLength, 2);
@@ -89,7 +90,8 @@
         inputs.updateEndpoints(EndpointListUpdate::Delta, json::read(R"([{"id":"s-9","phase":"Gone"}])")));
 }
 
-/// Regression: a snapshot with one invalid entry was rejected as a whole, so that no drain was noticed any more.
+/// Regression: a snapshot with one invalid entry was rejected as a whole, so that the planner no longer
+/// noticed drains.
 TEST_F(InputTranslatorTest, PassesOnValidEntriesOfAnInvalidSnapshotAsADelta) {
     registerTwoEndpoints();
     planner.received.clear();
@@ -98,21 +100,21 @@
         json::read(
             R"([{"id":"s-2","host_port":"127.0.0.1:2","locality":"b","phase":"Ready","size":"much"},
                 {"id":"s-1","host_port":"127.0.0.1:1","locality":"a","phase":"Terminating","size":1.5}])")));
-    EXPECT_EQ(planner.received,
-              std::vector<std::string>{"list 1 1"}); // as a delta: s-2 is missing, not removed
+    // Passed on as a delta, so that the missing s-2 does not count as removed.
+    EXPECT_EQ(planner.received, std::vector<std::string>{"list 1 1"});
     EXPECT_EQ(planner.endpointUpdates.at(0).id, readyEndpoint);
     EXPECT_EQ(planner.endpointUpdates.at(0).state, EndpointState::Draining);
     EXPECT_EQ(counters.of(Counter::BadEntry), 1U);
 }
 
-/// One invalid field invalidates its message, not the messages around it.
-TEST_F(InputTranslatorTest, IgnoresInvalidReportsAndAcknowledgementsAlone) {
+/// An invalid field invalidates its message, but not the messages before and after it.
+TEST_F(InputTranslatorTest, IgnoresOnlyTheInvalidReportsAndAcknowledgements) {
     registerTwoEndpoints();
-    CapturingStream collectorEnd;
-    CapturingStream proxyEnd;
-    const auto collector = openSession(collectorEnd);
-    const auto stream = openProxyStream(proxyEnd);
-    collector->feed("agent zone=a\r\n");
+    CapturingStream collectorStream;
+    CapturingStream proxyStream;
+    const auto collectorSession = openSession(collectorStream);
+    const auto proxySession = openProxySession(proxyStream);
+    collectorSession->feed("agent zone=a\r\n");
     decide([&] {
         state.setWeight(table, readyEndpoint, 1);
         state.assignTable({17}, 0, table);
@@ -133,7 +135,7 @@
         std::string text;
         for (std::size_t k = 0; k < std::size(validWords); ++k)
             text.append(k == place ? word : validWords[k]) += ' ';
-        EXPECT_TRUE(collector->feed(text + "\r\n")) << text;
+        EXPECT_TRUE(collectorSession->feed(text + "\r\n")) << text;
         EXPECT_TRUE(planner.loadReports.empty()) << text;
     }
     for (const std::string_view invalid :
@@ -141,14 +143,15 @@
           "demand proxy=17 class=order tries=1 failed=-2 span_ms=1\r\n"sv,
           "ack proxy=17 mark=9 took_ms=1\r\n"sv, "ack proxy=17 mark=905\r\n"sv,
           "ack proxy=17 mark=904 took_ms=x\r\n"sv})
-        EXPECT_TRUE(stream->feed(invalid)) << invalid;
+        EXPECT_TRUE(proxySession->feed(invalid)) << invalid;
     EXPECT_TRUE(planner.received.empty()) << planner.received.front();
-    stream->feed(
-        "demand proxy=17 class=order tries=1 failed=2 span_ms=1\r\n"); // requests of an earlier interval failed too
+    // `failed` may exceed `tries`, because it can include requests of an earlier interval.
+    proxySession->feed("demand proxy=17 class=order tries=1 failed=2 span_ms=1\r\n");
     EXPECT_EQ(planner.received.back(), "demand 1 1");
     planner.received.clear();
-    stream->feed("ack proxy=17 mark=905 took_ms=1\r\nack proxy=17 mark=904 took_ms=1\r\n");
-    EXPECT_EQ(planner.received, std::vector<std::string>{"acknowledged 905"}); // the later one covers both
+    proxySession->feed("ack proxy=17 mark=905 took_ms=1\r\nack proxy=17 mark=904 took_ms=1\r\n");
+    // The acknowledgement of mark 905 covers the earlier mark 904.
+    EXPECT_EQ(planner.received, std::vector<std::string>{"acknowledged 905"});
     EXPECT_EQ(counters.of(Counter::BadMark), 2U);
 }
 
--- a/tests/message_test.cpp
+++ b/tests/message_test.cpp
@@ -1,4 +1,4 @@
-// Parsing the messages of the platform protocol.
+// Tests the parser of platform protocol messages.
 #include <gtest/gtest.h>
 
 #include <string_view>
--- a/tests/platform_harness.h
+++ b/tests/platform_harness.h
@@ -1,5 +1,5 @@
-// The planner's side of the platform protocol without sockets, in front of a planner that records its inputs and
-// decides what a test wants.
+// A test fixture with the planner's side of the platform protocol, without sockets. The planner behind it
+// records its inputs and makes the decisions that a test supplies.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,14 +25,15 @@
 
 using namespace std::chrono_literals;
 
+/// A planner that records its inputs.
 struct RecordingPlanner : Planner {
-    /// Inputs other than reports on endpoints, in words.
+    /// Inputs other than load reports and probe results, as text.
     std::vector<std::string> received;
-    std::vector<EndpointUpdate> endpointUpdates; ///< of the last list
+    std::vector<EndpointUpdate> endpointUpdates; ///< of the most recent endpoint list
     std::vector<EndpointLoadReport> loadReports;
     std::vector<ProbeResult> probeResults;
     int decisionCount = 0;
-    std::function<void()> nextDecision; ///< called once, by the next `decide`
+    std::function<void()> nextDecision; ///< called once, by the next decide()
 
     void beginBatch(Micros) override {}
     void updateEndpoints(EndpointListUpdate kind, std::span<const EndpointUpdate> updates) override {
@@ -62,10 +63,11 @@
     void record(std::string input) { received.push_back(std::move(input)); }
 };
 
+/// Runs batches on the real update queue, translator and routing state with a RecordingPlanner.
 struct PlatformHarness : testing::Test {
     static constexpr std::uint32_t kProxyCount = 20;
 
-    net::BufferPool pool{64}; // outlives what the event loop still owns when it ends
+    net::BufferPool pool{64}; // declared before io: what io destroys at the end may hold buffers of the pool
     boost::asio::io_context io;
     net::Counters counters;
     net::NameRegistry names{{"lookup", "order"}, {"a", "b"}};
@@ -75,15 +77,15 @@
     net::BatchRunner batches{io, planner, state, counters, 0us};
     net::InputTranslator inputs{batches, updates, names, counters, kProxyCount};
     int answeredProbes = 0;
-    EndpointId readyEndpoint;    ///< after registerTwoEndpoints
-    EndpointId drainingEndpoint; ///< the same
+    EndpointId readyEndpoint;    ///< valid after registerTwoEndpoints()
+    EndpointId drainingEndpoint; ///< valid after registerTwoEndpoints()
     const TableId table{3};
 
     void runUntilIdle() {
         io.restart();
         io.run();
     }
-    /// Opens a batch in which the planner decides so, and runs it.
+    /// Runs a batch in which the planner makes the given decision.
     void decide(std::function<void()> decision) {
         planner.nextDecision = std::move(decision);
         batches.openBatch();
@@ -93,12 +95,13 @@
         return std::make_unique<net::PeerSession>(inputs, counters, pool, stream,
                                                   [this] { ++answeredProbes; });
     }
-    /// The stream of proxy 17 in zone b.
-    std::unique_ptr<net::PeerSession> openProxyStream(CapturingStream& stream) {
+    /// Opens a session on the stream and joins proxy 17 of zone b.
+    std::unique_ptr<net::PeerSession> openProxySession(CapturingStream& stream) {
         auto session = openSession(stream);
         session->feed("hello proxy=17 zone=b weight=21.5 fresh=0\r\n");
         return session;
     }
+    /// Passes a snapshot of two endpoints to the translator: s-1 is ready, s-2 is draining.
     void registerTwoEndpoints() {
         const json::Value members = json::read(
             R"([{"id":"s-1","host_port":"127.0.0.1:1","locality":"a","cell":3,"phase":"Ready","size":1.5,"up_since_ms":2},
--- a/tests/prober_test.cpp
+++ b/tests/prober_test.cpp
@@ -1,4 +1,4 @@
-// Health checks of endpoints over loopback connections.
+// Tests the prober against an HTTP server on a loopback connection.
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/read_until.hpp>
 #include <boost/asio/streambuf.hpp>
@@ -16,14 +16,15 @@
 
 using namespace std::chrono_literals;
 
+/// Makes the test server accept a probe without answering it.
 constexpr std::string_view kSilent = "silent";
 
 struct ProberTest : tests::PlatformHarness {
     boost::asio::ip::tcp::acceptor server{io, {boost::asio::ip::address_v4::loopback(), 0}};
     Prober prober{io, names, inputs, counters, pool, 64, 250ms, true};
 
-    /// The result of a probe that the server answers with `response` before it closes the connection. It never
-    /// answers if the response is kSilent.
+    /// Returns the result of a probe. The server sends `response` and closes the connection, or never answers
+    /// if `response` is kSilent.
     ProbeResult probe(std::string_view response) {
         const EndpointId id = names.registerEndpoint("s-1");
         names.setAddress(id, "127.0.0.1:" + std::to_string(server.local_endpoint().port()));
@@ -60,9 +61,9 @@
     EXPECT_EQ(planner.probeResults.back().status, ProbeStatus::Unreachable);
 }
 
-TEST_F(ProberTest, NeverReportsWithinTheDecisionThatAskedForTheProbe) {
+TEST_F(ProberTest, NeverReportsWithinTheDecisionThatRequestedTheProbe) {
     const EndpointId unreachable =
-        names.registerEndpoint("s-9"); // without an address the result is known at once
+        names.registerEndpoint("s-9"); // it has no address, so the result is known immediately
     decide([&] {
         prober.probe(unreachable);
         EXPECT_TRUE(planner.probeResults.empty());
--- a/tests/push_message_reader.h
+++ b/tests/push_message_reader.h
@@ -1,4 +1,5 @@
-// Reads push messages as the protocol page states them. Shares no code with the planner.
+// Parses push messages as the protocol's documentation specifies them. Shares no code with the planner, so
+// that tests check its encoder independently.
 #pragma once
 
 #include <algorithm>
@@ -6,7 +7,7 @@
 
 namespace zincstack::tests {
 
-/// Calls `handlePart` with each part between separators, empty ones included.
+/// Splits the text at each `separator` and calls `handlePart` for each part, also for empty ones.
 void forEachPart(std::string_view text, char separator, const auto& handlePart) {
     while (!text.empty()) {
         const auto end = text.find(separator);
@@ -15,8 +16,9 @@
     }
 }
 
-/// Calls `handleField` with the name and value of each word. A message is one or more `push` lines, all but the last
-/// with `part=1`; the word `push` itself has no value.
+/// Calls `handleField` with the name and the value of each word of a message. A message consists of one or
+/// more `push` lines, of which all but the last have `part=1`. The word `push` itself is passed with an empty
+/// value.
 void forEachField(std::string_view message, const auto& handleField) {
     forEachPart(message, '\n', [&](std::string_view line) {
         if (line.ends_with('\r')) line.remove_suffix(1);
@@ -28,11 +30,12 @@
     });
 }
 
+/// Number of elements of a comma-separated list.
 inline double countElements(std::string_view list) {
     return list.empty() ? 0 : 1 + static_cast<double>(std::ranges::count(list, ','));
 }
 
-/// Lines of the message without its overhead.
+/// Number of lines of a message as the protocol counts them, without the per-message overhead.
 inline double countLines(std::string_view message) {
     double lines = 0;
     forEachField(message, [&](std::string_view name, std::string_view value) {
--- a/tests/update_queue_test.cpp
+++ b/tests/update_queue_test.cpp
@@ -1,5 +1,5 @@
-// What proxies are sent on their push streams when the desired state changes, and what waits for capacity in the
-// control channel.
+// Tests which messages UpdateQueue writes when the desired state changes, and which updates wait for capacity
+// in the control channel.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -16,12 +16,12 @@
 
 struct UpdateQueueTest : tests::PlatformHarness {};
 
-/// Regression: each assignment and each new endpoint also readmitted what nobody had excluded. That doubled the lines
-/// and delayed drains behind them beyond their deadline.
+/// Regression: each table assignment and each new endpoint also readmitted endpoints that had not been
+/// excluded. This doubled the number of lines, and drains queued behind them missed their deadline.
 TEST_F(UpdateQueueTest, AssignmentSendsTableAndAdmissionAndReadmitsOnlyOnRequest) {
     registerTwoEndpoints();
-    CapturingStream reader;
-    const auto stream = openProxyStream(reader);
+    CapturingStream stream;
+    const auto session = openProxySession(stream);
     decide([&] {
         state.setWeight(table, readyEndpoint, 1.5);
         state.setWeight(table, drainingEndpoint, 0.25);
@@ -30,69 +30,69 @@
         state.assignTable({17}, 0, table);
         state.requestBarrier({905}, false);
     });
-    EXPECT_EQ(reader.take(), "push replace=1 rows=s-1:1.5,s-2:0.25 part=1\r\n"
+    EXPECT_EQ(stream.take(), "push replace=1 rows=s-1:1.5,s-2:0.25 part=1\r\n"
                              "push gate=1000000 again=1 stamp=905\r\n");
-    EXPECT_EQ(counters.of(Counter::OrderLines), 5U); // replacement, two weights, a limit, a barrier
+    EXPECT_EQ(counters.of(Counter::OrderLines), 5U); // replacement, two weights, one admission limit, barrier
     decide([&] {
         EXPECT_TRUE(state.clearStaleExclusions({17}, 99));
         state.requestBarrier({906}, false);
     });
-    EXPECT_EQ(reader.take(), "push undrop=s-1,s-2 stamp=906\r\n");
+    EXPECT_EQ(stream.take(), "push undrop=s-1,s-2 stamp=906\r\n");
     decide(
         [&] { EXPECT_FALSE(state.clearStaleExclusions({17}, 99) || state.clearStaleExclusions({3}, 99)); });
     decide([&] {
         state.setWeight(table, drainingEndpoint, 0);
-        state.setExcluded(drainingEndpoint, true); // its table does not contain it any more
+        state.setExcluded(drainingEndpoint, true); // no drop: the proxy's table no longer contains it
         state.setAdmission(table, 2, 0.5, RetryPolicy::Never);
         state.requestBarrier({907}, false);
     });
-    EXPECT_EQ(reader.take(), "push rows=s-2:0 part=1\r\npush for=order gate=0.5 again=0 stamp=907\r\n");
+    EXPECT_EQ(stream.take(), "push rows=s-2:0 part=1\r\npush for=order gate=0.5 again=0 stamp=907\r\n");
     decide([] {});
-    EXPECT_EQ(reader.take(), "");
+    EXPECT_EQ(stream.take(), "");
 }
 
-TEST_F(UpdateQueueTest, SendsExclusionsToInheritedTablesAndAgainOnANewStream) {
+TEST_F(UpdateQueueTest, SendsExclusionsForInheritedTablesAndRepeatsThemOnANewStream) {
     registerTwoEndpoints();
-    CapturingStream reader;
-    CapturingStream newer;
-    const auto stream = openProxyStream(reader);
+    CapturingStream stream;
+    CapturingStream newerStream;
+    const auto session = openProxySession(stream);
     decide([&] {
         state.setExcluded(drainingEndpoint, true);
         state.requestBarrier({1}, false);
     });
-    EXPECT_EQ(reader.take(), "push drop=s-2 stamp=1\r\n");
+    EXPECT_EQ(stream.take(), "push drop=s-2 stamp=1\r\n");
     decide([&] {
         state.setExcluded(drainingEndpoint, true);
         state.requestBarrier({2}, false);
     });
-    EXPECT_EQ(reader.take(), "");
-    const auto next = openProxyStream(newer);
+    EXPECT_EQ(stream.take(), "");
+    const auto newerSession = openProxySession(newerStream);
     decide([&] {
         state.setWeight(table, drainingEndpoint, 1);
         state.assignTable({17}, 3, table);
     });
-    EXPECT_EQ(newer.take(), ""); // only the acknowledgement of a barrier returns the credit
+    EXPECT_EQ(newerStream.take(), ""); // no message without a barrier: its acknowledgement returns the credit
     EXPECT_TRUE(state.needsBarrier());
     decide([&] { state.requestBarrier({3}, false); });
     EXPECT_FALSE(state.needsBarrier());
-    EXPECT_EQ(newer.take(), "push replace=1 rows=s-2:1 drop=s-2 stamp=3\r\n"); // still excluded
+    EXPECT_EQ(newerStream.take(), "push replace=1 rows=s-2:1 drop=s-2 stamp=3\r\n"); // still excluded
     decide([&] {
         state.setExcluded(drainingEndpoint, false);
         state.requestBarrier({4}, true);
     });
-    EXPECT_EQ(newer.take(), "push undrop=s-2 stamp=4\r\n");
-    EXPECT_EQ(reader.take(), "");
+    EXPECT_EQ(newerStream.take(), "push undrop=s-2 stamp=4\r\n");
+    EXPECT_EQ(stream.take(), "");
 }
 
-TEST_F(UpdateQueueTest, AForgottenEndpointReturnsWithANewIdAndIsReadmitted) {
+TEST_F(UpdateQueueTest, ForgottenEndpointReturnsWithANewIdAndIsReadmitted) {
     registerTwoEndpoints();
-    CapturingStream reader;
-    const auto stream = openProxyStream(reader);
+    CapturingStream stream;
+    const auto session = openProxySession(stream);
     decide([&] {
         state.setExcluded(drainingEndpoint, true);
         state.requestBarrier({1}, false);
     });
-    EXPECT_EQ(reader.take(), "push drop=s-2 stamp=1\r\n");
+    EXPECT_EQ(stream.take(), "push drop=s-2 stamp=1\r\n");
     decide([&] { EXPECT_TRUE(state.forgetEndpoint(drainingEndpoint)); });
     EXPECT_FALSE(names.endpoint("s-2"));
     EXPECT_EQ(names.address(drainingEndpoint), "");
@@ -104,20 +104,20 @@
         state.assignTable({17}, 0, table);
         state.requestBarrier({2}, false);
     });
-    EXPECT_EQ(reader.take(),
+    EXPECT_EQ(stream.take(),
               "push replace=1 rows=s-2:1 undrop=s-2 stamp=2\r\n"); // the proxy still excludes it
 }
 
-TEST_F(UpdateQueueTest, ResynchronizesALaggingReaderOnceItHasCaughtUp) {
+TEST_F(UpdateQueueTest, ResynchronizesALaggingProxyOnceItHasCaughtUp) {
     registerTwoEndpoints();
-    CapturingStream reader;
-    const auto stream = openProxyStream(reader);
+    CapturingStream stream;
+    const auto session = openProxySession(stream);
     decide([&] {
         state.setWeight(table, readyEndpoint, 1);
         state.assignTable({17}, 0, table);
     });
-    reader.take();
-    reader.isSlow = true;
+    stream.take();
+    stream.isSlow = true;
     decide([&] {
         state.setWeight(table, drainingEndpoint, 1);
         state.requestBarrier({7}, false);
@@ -126,11 +126,11 @@
         state.setWeight(table, readyEndpoint, 0.5);
         state.requestBarrier({8}, false);
     });
-    reader.isSlow = false;
+    stream.isSlow = false;
     decide([] {});
-    EXPECT_EQ(reader.take(), "push replace=1 rows=s-1:0.5,s-2:1 stamp=8\r\n");
+    EXPECT_EQ(stream.take(), "push replace=1 rows=s-1:0.5,s-2:1 stamp=8\r\n");
     EXPECT_EQ(counters.of(Counter::Resyncs), 1U);
-    reader.isSlow = true; // what it missed is sent again, as it is by then
+    stream.isSlow = true; // missed exclusions are sent in their current state
     decide([&] {
         state.setExcluded(readyEndpoint, true);
         state.requestBarrier({9}, false);
@@ -143,15 +143,15 @@
         state.setExcluded(readyEndpoint, false);
         state.requestBarrier({11}, false);
     });
-    reader.isSlow = false;
+    stream.isSlow = false;
     decide([] {});
-    EXPECT_EQ(reader.take(), "push replace=1 rows=s-1:0.5,s-2:1 drop=s-2 undrop=s-1 stamp=11\r\n");
+    EXPECT_EQ(stream.take(), "push replace=1 rows=s-1:0.5,s-2:1 drop=s-2 undrop=s-1 stamp=11\r\n");
 }
 
 constexpr ProxyId kFirst{1};
 constexpr ProxyId kSecond{2};
 
-/// Two proxies with complete tables on a channel for fifty lines.
+/// Two proxies with assigned tables on a channel with a capacity of 50 lines.
 struct UpdateQueueCreditTest : testing::Test {
     static constexpr TableId kTable{0};
     static constexpr int kEndpointCount = 12;
@@ -183,6 +183,7 @@
         endBatch();
         acknowledge(proxy);
     }
+    /// Requests a barrier for the proxies with pending changes and flushes.
     void endBatch() {
         state.requestBarrier({++lastBarrier}, false);
         now += 1ms;
@@ -197,7 +198,7 @@
 
 TEST_F(UpdateQueueCreditTest, DeferredUpdatesMergeAndFollowRemovals) {
     for (std::size_t k = 3; k < 12; ++k) state.setWeight(kTable, endpoints[k], 1);
-    endBatch(); // 9 weights, overhead and barrier: 16 lines, of 25 that ordinary updates may fill
+    endBatch(); // 9 weights, overhead and barrier: 16 of the 25 lines for ordinary updates
     EXPECT_NE(firstStream.take().find("s-11:1"), std::string::npos);
     EXPECT_EQ(secondStream.take(), "");
     EXPECT_EQ(state.pendingLines(), 32);
@@ -206,20 +207,21 @@
     state.setWeight(kTable, endpoints[0], 0);
     endBatch();
     const std::string stamp = " stamp=" + std::to_string(lastBarrier) + "\r\n";
-    // The one that waits longer gets the present state; for the other there is capacity only for the removal.
+    // The second proxy has waited longer and gets the current state. For the first there is only capacity for
+    // the removal.
     EXPECT_EQ(secondStream.take(),
               "push rows=s-0:0,s-3:1,s-4:2,s-5:2,s-6:2,s-7:2,s-8:2,s-9:2,s-10:2,s-11:2" + stamp);
     EXPECT_EQ(firstStream.take(), "push rows=s-0:0" + stamp);
 }
 
-/// Regression: the planner limits its rate by what is pending, so that weights deferred for one unresponsive proxy
-/// delayed everybody's.
-TEST_F(UpdateQueueCreditTest, UpdatesForAnUnresponsiveProxyAreNoLoadOnTheChannel) {
+/// Regression: weights deferred for one unresponsive proxy counted as pending lines. The planner limits its
+/// rate by these, so the updates of all proxies were delayed.
+TEST_F(UpdateQueueCreditTest, UpdatesForAnUnresponsiveProxyDoNotCountAsChannelLoad) {
     state.setWeight(kTable, endpoints[3], 1);
     endBatch();
-    EXPECT_NE(firstStream.take(), ""); // it never acknowledges
+    EXPECT_NE(firstStream.take(), ""); // the first proxy never acknowledges
     acknowledge(kSecond);
-    for (int k = 0; k < 3; ++k) { // others make progress
+    for (int k = 0; k < 3; ++k) { // the second proxy makes progress
         now += 1s;
         updates.sessionOpened(kSecond, {0}, secondStream);
         assignTable(kSecond);
@@ -228,7 +230,8 @@
     for (std::size_t k = 4; k < 12; ++k) state.setWeight(kTable, endpoints[k], 1);
     endBatch();
     EXPECT_EQ(firstStream.take(), "");
-    EXPECT_EQ(state.pendingLines(), 8 + 15); // what the second was written, not what waits for the first
+    // Adds the message to the second proxy, but not the update that waits for the first.
+    EXPECT_EQ(state.pendingLines(), 8 + 15);
 }
 
 TEST_F(UpdateQueueCreditTest, DoesNotForgetAnEndpointWhileItsRemovalIsPending) {
--- a/tests/wire_bytes.h
+++ b/tests/wire_bytes.h
@@ -1,4 +1,5 @@
-// Builds records of the simulator's wire, field by field, without the code that the program reads and writes them with.
+// Builds records of the simulator's wire protocol field by field, independently of the program's own encoder
+// and decoder.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +10,7 @@
 
 namespace zincstack::tests {
 
-/// Fields one after another, each as it lies in memory.
+/// A sequence of fields, each in its representation in memory.
 struct Bytes {
     std::vector<std::byte> all;
     Bytes(const auto&... fields) { (put(fields), ...); }
@@ -18,7 +19,7 @@
         for (const char character : text) put(character);
     }
     void put(const Bytes& fields) { append(fields.all.data(), fields.all.size()); }
-    /// A whole record: code, length and fields.
+    /// Appends a complete record: code, length in bytes and fields.
     Bytes& record(std::uint8_t code, const Bytes& fields) {
         put(code);
         put(static_cast<std::uint32_t>(fields.all.size()));
