--- a/src/planner/fleet_load.h
+++ b/src/planner/fleet_load.h
@@ -1,23 +1,24 @@
-// What load reports tell of the whole fleet, and the levels of overload at which decisions change. State only.
+// Load of the whole fleet as computed from load reports, and the overload thresholds that decisions use.
+// State only.
 #pragma once
 
 #include "planner/ids.h"
 
 namespace zincstack {
 
-/// Overload (fraction of the median endpoint's attempts) that admission control regulates towards. A fleet that is
-/// below it counts as well.
+/// Overload (fraction of the median endpoint's attempts that fail or are late) that admission control
+/// regulates towards. A fleet, or a fraction of it, that is below this threshold counts as healthy.
 inline constexpr double kTargetOverload = 0.12;
 
-/// Overload above which endpoints that are warming up are protected before admission limits show.
+/// Overload above which endpoints that are warming up are protected until admission limits take effect.
 inline constexpr double kOnsetOverload = 0.2;
 
-/// Load of the whole fleet, evaluated once a report interval.
+/// Load of the whole fleet, evaluated once per report interval.
 struct FleetLoad {
     double overload = 0;    ///< fraction of the median endpoint's attempts that fail or are late
     double successRate = 0; ///< attempts that succeeded, per second
     double attemptRate = 0; ///< attempts per second
-    Micros lastCalmAt{};    ///< when the overload was last at most kOnsetOverload
+    Micros lastCalmAt{};    ///< last evaluation at which the overload was at most kOnsetOverload
 };
 
 } // namespace zincstack
--- a/src/planner/slow_start.cpp
+++ b/src/planner/slow_start.cpp
@@ -8,21 +8,23 @@
 
 namespace {
 
-/// Lead of the weight over the capacity of the slowest warm-up that the settings allow. A round is shorter than a
-/// warm-up, so without it an endpoint would often wait a whole round for a step that is nearly due.
+/// Factor by which the fraction of the weight may exceed the fraction of the capacity, which is computed for
+/// the slowest warm-up that the settings allow. A round is shorter than a warm-up, so without this factor an
+/// endpoint would often wait a whole round for a step that is nearly due.
 constexpr double kWarmUpLead = 1.25;
 
-/// Fraction of the overload factor that an endpoint may be brought while it warms up.
+/// Fraction of the overload factor up to which an endpoint may be loaded while it warms up.
 constexpr double kOverloadMargin = 0.75;
 
-/// An endpoint steps down only above this multiple of the rate up to which it may climb (hysteresis).
+/// Hysteresis: an endpoint steps down only if its rate exceeds this multiple of the rate up to which it may
+/// step up.
 constexpr double kStepDownFactor = 1.5;
 
-/// Time until admission limits show in the load reports.
+/// Time from the onset of overload until admission limits show in the load reports.
 constexpr Micros kOnsetTime = 3s;
 
-/// At the onset of overload an endpoint below this fraction of its capacity gets no work: proxies that avoid failing
-/// endpoints heap their requests on those that answer.
+/// At the onset of overload, an endpoint below this fraction of its full capacity gets no requests if a warm
+/// one can serve them: proxies that avoid failing endpoints concentrate their requests on those that answer.
 constexpr double kNearlyWarm = 0.75;
 
 } // namespace
@@ -62,7 +64,7 @@
 
 void SlowStart::advanceEndpoint(EndpointIndex endpoint, const FleetView& fleet) {
     int& step = endpoints_.slowStartStep[endpoint];
-    const int lowestStep = fleet.hasWarmEndpoint ? 0 : 1; // somebody has to take the work
+    const int lowestStep = fleet.hasWarmEndpoint ? 0 : 1; // without a warm endpoint, the others must serve
     step = std::max(step, lowestStep);
     if (canStepUp(endpoint, fleet)) {
         ++step;
@@ -75,7 +77,8 @@
     if (!fleet.mayClimb || fleet.isOverloadOnset || fleet.now < endpoints_.holdUntil[endpoint]) return false;
     const double warmUp = warmUpFraction(endpoint, fleet.now);
     const bool isWarmingUp = warmUp < 1;
-    // The endpoint list can name endpoints that are none of the fleet: a warm one climbs once it has answered.
+    // The endpoint list can name endpoints that do not belong to the fleet, so a warm endpoint steps up only
+    // after an attempt has succeeded there.
     if (!endpoints_.hasReported[endpoint] && !isWarmingUp) return false;
     const int next = endpoints_.slowStartStep[endpoint] + 1;
     if (next > kSlowStartSteps * kWarmUpLead * warmUp) return false;
@@ -91,14 +94,16 @@
     return expected > kStepDownFactor * safeRate(endpoint, fleet);
 }
 
-/// Requests per second that the endpoint can surely carry at its age: its listed share of what the fleet completes.
+/// Requests per second that the endpoint can safely serve at its age: its share, by listed weight, of the
+/// attempts that succeed in the fleet, scaled by its warm-up fraction, the allowed overload and the fleet's
+/// overload.
 double SlowStart::safeRate(EndpointIndex endpoint, const FleetView& fleet) const {
     return kOverloadMargin * safety_.overloadFactor * warmUpFraction(endpoint, fleet.now) *
            (1 - fleet.load.overload) * fleet.load.successRate * endpoints_.listedWeight[endpoint] /
            fleet.totalListedWeight;
 }
 
-/// Requests per second that the endpoint would be brought at a step.
+/// Requests per second that the endpoint would get at `step`.
 double SlowStart::expectedRate(EndpointIndex endpoint, int step, const FleetView& fleet) const {
     const double weight = endpoints_.listedWeight[endpoint] * step / kSlowStartSteps;
     const double total = fleet.totalTargetWeight - targetWeight(endpoints_, endpoint) + weight;
--- a/src/planner/slow_start.h
+++ b/src/planner/slow_start.h
@@ -1,6 +1,7 @@
-// Slow start: how an endpoint that is new, restarted or readmitted gets to its full weight, step by step.
+// Slow start: raises the weight of a new, restarted or readmitted endpoint step by step to its full weight.
 //
-// The step of each endpoint is in the EndpointRegistry; health changes set it back, `SlowStart::advance` moves it.
+// The step of each endpoint is in the EndpointRegistry. Changes of health lower or reset it (see
+// OutlierDetector); `SlowStart::advance` moves it up and down.
 #pragma once
 
 #include "planner/endpoint_registry.h"
@@ -8,13 +9,14 @@
 
 namespace zincstack {
 
-/// Steps from nothing to the full listed weight: an endpoint climbs by fifths.
+/// Number of steps from weight 0 to the full listed weight: each step adds a fifth of it.
 inline constexpr int kSlowStartSteps = 5;
 
-/// Time for which a reduced weight is kept, and then between the steps of its recovery.
+/// Minimum time that a reduced weight is kept, and then between the steps of its recovery.
 inline constexpr Micros kMinReducedTime = std::chrono::seconds(60);
 
-/// The weight that an endpoint is to get now: its listed weight at its slow-start step, 0 out of service.
+/// The weight that an endpoint should have now: the fraction of its listed weight that its slow-start step
+/// allows, or 0 if it is out of service.
 inline double targetWeight(const EndpointRegistry& endpoints, EndpointIndex endpoint) {
     if (!endpoints.isInService(endpoint)) return 0;
     return endpoints.listedWeight[endpoint] * endpoints.slowStartStep[endpoint] / kSlowStartSteps;
@@ -25,30 +27,31 @@
     return endpoints.sum([&](EndpointIndex endpoint) { return targetWeight(endpoints, endpoint); });
 }
 
-/// Moves endpoints through slow start. Owns no state; changes `slowStartStep` and `holdUntil` of the registry.
+/// Moves endpoints through slow start. Has no state; changes `slowStartStep` and `holdUntil` in the registry.
 class SlowStart {
 public:
     SlowStart(EndpointRegistry& endpoints, const SafetyLimits& safety)
         : endpoints_(endpoints), safety_(safety) {}
 
-    /// Fraction of its full capacity that an endpoint has by its age: 1 once it is warm.
+    /// Fraction of its full capacity that an endpoint has at its age: 1 if it is warm. An endpoint without a
+    /// start time counts as warm.
     double warmUpFraction(EndpointIndex endpoint, Micros now) const;
 
-    /// Moves endpoints up by a step, no faster than the slowest warm-up allows, and down where an endpoint that is
-    /// warming up would be brought more than it can carry. `demand`: admitted requests per second; `mayClimb`: a new
-    /// round may begin.
+    /// Moves endpoints up by a step, no faster than the slowest warm-up allows, and down if an endpoint that
+    /// is warming up would get more requests than it can serve. `demand`: admitted requests per second;
+    /// `mayClimb`: a new round may begin.
     void advance(const FleetLoad& load, double demand, bool mayClimb, Micros now);
 
 private:
-    /// What is the same for all endpoints in one call of `advance`.
+    /// Fleet-wide inputs of one call of `advance`, the same for all endpoints.
     struct FleetView {
         const FleetLoad& load;
         double demand;
         double totalTargetWeight;
         double totalListedWeight;
         bool mayClimb;
-        bool isOverloadOnset; ///< overload has begun and admission limits cannot show in the reports yet
-        bool hasWarmEndpoint; ///< a warm endpoint gets work, so that one that is warming up may get none
+        bool isOverloadOnset; ///< overload has begun so recently that admission limits cannot show in reports
+        bool hasWarmEndpoint; ///< a warm endpoint gets requests, so one that is warming up may get none
         Micros now;
     };
     FleetView viewFleet(const FleetLoad& load, double demand, bool mayClimb, Micros now) const;
--- a/src/planner/weighted_quantile.h
+++ b/src/planner/weighted_quantile.h
@@ -1,4 +1,4 @@
-// Quantiles of samples that count by weight, as those of endpoints by their share of the traffic.
+// Quantiles of weighted samples, such as figures of endpoints weighted by their share of the traffic.
 #pragma once
 
 #include <algorithm>
@@ -7,14 +7,15 @@
 
 namespace zincstack {
 
-/// A value and how much it counts.
+/// A value and its weight in the quantile.
 struct WeightedSample {
     double value = 0;
     double weight = 0;
     friend auto operator<=>(const WeightedSample&, const WeightedSample&) = default;
 };
 
-/// The least value that is reached by the fraction `part` of the total weight; 0 without samples. Sorts the samples.
+/// Returns the smallest value such that the samples up to it have at least the fraction `part` of the total
+/// weight; 0 if there are no samples. Sorts the samples.
 inline double weightedQuantile(std::vector<WeightedSample>& samples, double part) {
     double remaining = 0;
     for (const WeightedSample& sample : samples) remaining += sample.weight * part;
