--- a/src/planner/outlier_detection.cpp
+++ b/src/planner/outlier_detection.cpp
@@ -13,43 +13,49 @@
 
 namespace {
 
-/// What a second leaves of the figures from load reports: they fade, so that a judgement rests on recent attempts.
+/// Decay of the figures from load reports, as a factor per second: decisions rest on recent attempts.
 constexpr double kReportDecay = 0.2;
 
-/// What a second leaves of an endpoint's saturation; slower than the reports, since slowness has to last.
+/// Decay of an endpoint's smoothed saturation, as a factor per second. It is slower than the decay of the
+/// report figures, because slowness has to last before it counts.
 constexpr double kSaturationDecay = 0.5;
 
-/// Distance of a failing endpoint's failure ratio above the fleet's overload: where all fail, none is an outlier.
+/// Margin by which the failure ratio of a failing endpoint must exceed the fleet's overload: if all endpoints
+/// fail, none is an outlier.
 constexpr double kOutlierMargin = 0.25;
 
-/// Fraction of the listed weight that may be ejected: if more looks bad, the view is doubted and not the fleet.
+/// Maximum fraction of the listed weight that may be ejected. If more endpoints look unhealthy, the
+/// observations are assumed to be wrong rather than the endpoints.
 constexpr double kMaxEjectedFraction = 0.34;
 
-/// Views of the whole fleet that must lack an endpoint before it counts as silent.
+/// Reporting cycles without a report on an endpoint after which it can count as silent. In one cycle, each
+/// zone reports once on each endpoint.
 constexpr double kSilentReports = 3;
 
-/// Attempts that a silent endpoint's weight made likely meanwhile.
+/// Attempts that a silent endpoint should have got since its last report, according to its target weight.
 constexpr double kSilentAttempts = 10;
 
-/// Time that an endpoint stays ejected at least.
+/// Minimum time that an endpoint stays ejected.
 constexpr Micros kMinEjectionTime = 3s;
 
-/// Saturation (fraction of attempts that fail or are late) from which an endpoint counts as slow.
+/// Smoothed saturation (fraction of attempts that fail or are late) from which an endpoint can count as slow.
 constexpr double kSlowFraction = 0.4;
 
-/// Fraction of the fleet's weight that has to be well before a slow endpoint is an outlier.
+/// Fraction of the fleet's weight whose saturation must be below kTargetOverload for a slow endpoint to be an
+/// outlier.
 constexpr double kHealthyQuantile = 0.33;
 
-/// Time after a change of health before an endpoint can count as slow.
+/// Minimum time from an addition to service, a readmission or a weight reduction until an endpoint can count
+/// as slow.
 constexpr Micros kSettleTime = 3s;
 
-/// Mean latency from which some of an endpoint's answers count as late, as a fraction of the latency objective.
+/// Mean latency above which some of an endpoint's answers count as late, as a fraction of the objective.
 constexpr double kLateLatencyStart = 0.4;
 
-/// Mean latency at which all of them do, as a fraction of the latency objective.
+/// Mean latency from which all of an endpoint's answers count as late, as a fraction of the objective.
 constexpr double kLateLatencyEnd = 1.0;
 
-/// The median endpoint by weight stands for the fleet: a few outliers do not move it.
+/// The median endpoint by weight represents the fleet, because a few outliers hardly change the median.
 constexpr double kMedian = 0.5;
 
 constexpr auto kHealthTransitions = [] {
@@ -79,7 +85,8 @@
 } // namespace
 
 void OutlierDetector::updateEndpoints(bool isComplete, std::span<const EndpointUpdate> entries, Micros now) {
-    // The list can wrongly call running endpoints removed: where that is not binding, a health check decides.
+    // The list can wrongly report running endpoints as removed. A health check decides, unless removals are
+    // binding.
     const HealthEvent removal =
         safety_.removalIsBinding ? HealthEvent::RemovedFromList : HealthEvent::MissingFromList;
     std::vector<char> isListed(endpoints_.size(), 0);
@@ -124,7 +131,7 @@
 }
 
 std::optional<double> OutlierDetector::evaluateReports(double meanLatencyObjective, Micros now) {
-    // Reports come about once an interval: a tenth of it is left for those that come early.
+    // Reports arrive about once per interval: a tenth of it is the tolerance for early reports.
     const Micros minInterval = fleet_.reportInterval * 9 / 10;
     if (!hasNewReports_ || now - evaluatedAt_ < minInterval) return {};
     const Micros sinceEvaluation = evaluatedAt_ > 0us ? now - evaluatedAt_ : 0us;
@@ -175,7 +182,8 @@
     smoothed = saturation + std::pow(kSaturationDecay, span) * (smoothed - saturation);
     const double weight = targetWeight(endpoints_, endpoint);
     samples.saturation.push_back({saturation, weight});
-    // Failures are a sign of congestion only beside slow answers: shedding load cures no lost answers or errors.
+    // Failures indicate congestion only if answers are slow as well: load shedding does not help against lost
+    // answers or errors.
     const double slowness = std::clamp(2 * meanLatency / kLateLatencyStart - 1, 0.0, 1.0);
     const double congestion = saturation - (1 - slowness) * endpoints_.failureRatio(endpoint);
     samples.congestion.push_back({congestion, weight});
@@ -192,8 +200,8 @@
         handleEvent(endpoint, HealthEvent::ReportsGood, now);
 }
 
-/// Proxies keep away from an endpoint that fails them, so missing reports are a symptom too. A view of the fleet takes
-/// long where reports pile up, so silence is counted in reports and attempts and not in time.
+/// Proxies avoid an endpoint whose attempts fail, so missing reports are a symptom as well. Silence is
+/// measured in reports and attempts, not in time, because a reporting cycle takes long if reports queue up.
 bool OutlierDetector::isSilent(EndpointIndex endpoint, const FleetView& view) const {
     if (endpoints_.excluded[endpoint]) return false;
     const double missedReports = reportCount_ - endpoints_.reportsWhenLastSeen[endpoint];
@@ -245,13 +253,14 @@
         if (step > 1) --step;
         break;
     case HealthAction::AddToService: {
-        // At full weight only if it is warm and no report has come of any endpoint; otherwise step by step.
+        // Full weight only if the endpoint is warm and no load report on any endpoint has arrived yet;
+        // otherwise slow start.
         const bool isStartup = slowStart_.warmUpFraction(endpoint, now) >= 1 && reportCount_ <= 0;
         step = isStartup ? kSlowStartSteps : 1;
         endpoints_.hasReported[endpoint] = 0;
         break;
     }
-    case HealthAction::Readmit: step = 1; break; // if it restarted meanwhile, the endpoint list will say so
+    case HealthAction::Readmit: step = 1; break; // the endpoint list announces a restart during the ejection
     }
     restartObservation(endpoint, now);
 }
--- a/src/planner/outlier_detection.h
+++ b/src/planner/outlier_detection.h
@@ -1,8 +1,8 @@
-// Outlier detection: which endpoints are healthy, suspect or ejected, by the endpoint list, load reports and health
-// checks.
+// Outlier detection: decides which endpoints are healthy, suspect, unlisted, ejected or removed, from the
+// endpoint list, load reports and health checks.
 //
-// Owns the health state machine and the figures of the whole fleet. The state of each endpoint is in the
-// EndpointRegistry, where nothing else changes its health. Ejections and readmissions are reported to the sink.
+// Owns the health state machine and the load figures of the whole fleet. The state of each endpoint is in the
+// EndpointRegistry; only this module changes its health. Ejections and readmissions are reported to the sink.
 #pragma once
 
 #include <cstdint>
@@ -18,55 +18,57 @@
 
 namespace zincstack {
 
-/// What can change the health of an endpoint.
+/// Events that can change the health of an endpoint.
 enum class HealthEvent : std::uint8_t {
-    Listed,            ///< the endpoint list names it
-    Restarted,         ///< the endpoint list names it with a later start
-    DrainStarted,      ///< the endpoint list calls it draining
-    RemovedFromList,   ///< the endpoint list no longer names it, and that is binding
-    MissingFromList,   ///< the endpoint list no longer names it, which a health check is to confirm
-    ReportsBad,        ///< load reports show an outlier
-    ReportsGood,       ///< load reports show nothing unusual
+    Listed,            ///< the endpoint list names it as ready
+    Restarted,         ///< the endpoint list names it as ready, with a later start time
+    DrainStarted,      ///< the endpoint list names it as draining
+    RemovedFromList,   ///< the endpoint list removed it, and removals are binding
+    MissingFromList,   ///< the endpoint list removed it; a health check has to confirm that
+    ReportsBad,        ///< load reports show it as an outlier
+    ReportsGood,       ///< load reports do not show it as an outlier
     ProbeFailed,       ///< a health check found it dead or hung
     ProbeSlow,         ///< a health check found it slow or under heavy load
-    ProbeSucceeded,    ///< a health check found it well
-    RecoveryConfirmed, ///< enough health checks in a row succeeded
+    ProbeSucceeded,    ///< a health check found it healthy
+    RecoveryConfirmed, ///< enough consecutive health checks succeeded
 };
 
-/// What follows from a change of health.
+/// Actions that follow from a change of health.
 enum class HealthAction : std::uint8_t {
     NoAction,
-    AddToService, ///< begin slow start
-    StartProbing, ///< a health check is due now
+    AddToService, ///< begin slow start, or serve at full weight if the planner has just started
+    StartProbing, ///< make a health check due now
     Eject,        ///< take it out of service
-    ReduceWeight, ///< a slow-start step down, for kMinReducedTime at least
-    Readmit,      ///< begin slow start at the first step
+    ReduceWeight, ///< go down a slow-start step, for at least kMinReducedTime
+    Readmit,      ///< put it in service again; begin slow start at the first step
 };
 
-/// Attempts below which the figures of an endpoint, or of the fleet, prove nothing.
+/// Minimum number of attempts for which the figures of an endpoint, or of the fleet, are conclusive.
 inline constexpr double kMinAttempts = 3;
 
-/// Fraction of an endpoint's attempts that must fail for it to count as failing.
+/// Minimum fraction of failed attempts from which an endpoint can count as failing.
 inline constexpr double kOutlierFailureRatio = 0.5;
 
-/// Time between two health checks of an endpoint.
+/// Time between two health checks of an endpoint, without jitter.
 inline constexpr Micros kProbeInterval = std::chrono::seconds(1);
 
-/// Decides on the health of each endpoint.
+/// Runs the health state machine of each endpoint.
 class OutlierDetector {
 public:
     OutlierDetector(EndpointRegistry& endpoints, const SlowStart& slowStart, RoutingUpdateSink& sink,
                     const FleetConfig& fleet, const SafetyLimits& safety)
         : endpoints_(endpoints), slowStart_(slowStart), sink_(sink), fleet_(fleet), safety_(safety) {}
 
-    /// Takes in the endpoint list. `isComplete`: endpoints that it does not name are gone.
+    /// Applies an endpoint list. `isComplete`: endpoints that it does not name have been removed.
     void updateEndpoints(bool isComplete, std::span<const EndpointUpdate> entries, Micros now);
 
-    /// Takes in what the proxies of a zone measured at an endpoint; one that is not known is ignored.
+    /// Adds a load report, with what the proxies of a zone measured at an endpoint. A report on an unknown
+    /// endpoint is ignored.
     void reportLoad(const EndpointLoadReport& report);
 
-    /// Once a report interval: evaluates the reports of each endpoint and of the fleet. Returns the congestion of
-    /// the median endpoint (0 to 1), or nothing where no evaluation is due or too few attempts were reported.
+    /// Evaluates the load reports of each endpoint and of the fleet, once per report interval. Returns the
+    /// congestion of the median endpoint (0 to 1), or std::nullopt if no evaluation is due or too few
+    /// attempts were reported. `meanLatencyObjective` is in seconds.
     std::optional<double> evaluateReports(double meanLatencyObjective, Micros now);
 
     /// Runs the health state machine for one endpoint.
@@ -75,17 +77,17 @@
     const FleetLoad& fleetLoad() const { return fleetLoad_; }
 
 private:
-    /// Figures of the endpoints in service that have reported, weighted by their target weight.
+    /// Figures of the endpoints in service for which attempts were reported, weighted by their target weight.
     struct FleetSamples {
         std::vector<WeightedSample> saturation; ///< fraction of attempts that fail or are late
-        std::vector<WeightedSample> congestion; ///< the same, without failures beside quick answers
+        std::vector<WeightedSample> congestion; ///< the same, without failures next to fast answers
         double attempts = 0;
     };
-    /// What an endpoint is compared with.
+    /// Fleet-wide figures that an endpoint is compared with.
     struct FleetView {
         double totalTargetWeight;
-        double reportsPerView;    ///< reports after which each zone has told of each endpoint
-        double healthySaturation; ///< saturation that the healthiest third does not exceed
+        double reportsPerView;    ///< reports in which each zone covers each endpoint once
+        double healthySaturation; ///< saturation that the healthiest third of the weight does not exceed
     };
     FleetSamples collectSamples(double meanLatencyObjective, double span);
     void addSample(EndpointIndex endpoint, double meanLatencyObjective, double span, FleetSamples& samples);
