--- a/src/planner/health_checks.cpp
+++ b/src/planner/health_checks.cpp
@@ -6,19 +6,22 @@
 
 namespace {
 
-/// Successful probes in a row that readmit an endpoint; a single one may be shallow.
+/// Consecutive successful probes that readmit an endpoint; a single one may be shallow (answered while
+/// requests hang).
 constexpr int kProbesToReadmit = 2;
 
-/// Fraction of failed attempts from which an endpoint may hang: there a quick probe proves nothing.
+/// Fraction of failed attempts from which an endpoint may hang; a fast answer to a probe then proves nothing.
 constexpr double kHangFailureRatio = 0.9;
 
-/// Latency of a probe that tells of load, as a fraction of the shortest latency objective.
+/// Probe latency that indicates a heavily loaded endpoint, as a fraction of the shortest latency objective.
 constexpr double kSlowProbeFraction = 0.5;
 
-/// Requests in flight that tell of load, as a multiple of what is usual in the fleet for the weight.
+/// Requests in flight above which an endpoint counts as heavily loaded, as a multiple of the fleet's average
+/// for its target weight.
 constexpr double kHeavyLoadFactor = 2;
 
-/// Probes are spread over this many microseconds, so that those of a fault's endpoints do not come at once.
+/// Upper bound of the random delay between probes, in microseconds: endpoints hit by the same fault are not
+/// all probed at the same time.
 constexpr std::uint32_t kProbeJitterMicros = 100000;
 
 } // namespace
@@ -49,8 +52,9 @@
         outliers_.handleEvent(endpoint, HealthEvent::RecoveryConfirmed, now);
 }
 
-/// Some probes are shallow and answered while requests hang or wait: a quick answer clears neither an endpoint that
-/// answers next to nothing nor one that holds far more requests than the others for its weight.
+/// Some probes are shallow: they are answered while requests hang or wait. So a fast answer clears neither an
+/// endpoint whose attempts nearly all fail nor one in service with far more requests in flight than is usual
+/// for its weight.
 HealthEvent HealthChecker::eventOf(EndpointIndex endpoint, const ProbeResult& result) const {
     const bool hung = isHung(endpoint);
     const bool isEjected = endpoints_.health[endpoint] == HealthState::Ejected;
@@ -82,8 +86,8 @@
            kHeavyLoadFactor * usualPerWeight * targetWeight(endpoints_, endpoint);
 }
 
-/// A probe that only times out tells of load where some requests are still answered: such an endpoint gets less work,
-/// not none.
+/// If some requests are still answered, a probe that only times out is a sign of load: the weight of such an
+/// endpoint is reduced instead of ejecting it.
 bool HealthChecker::isDead(EndpointIndex endpoint, const ProbeResult& result) const {
     if (result.status == ProbeStatus::Answered) return false;
     if (hasHardlyAnswered(endpoint)) return true;
--- a/src/planner/health_checks.h
+++ b/src/planner/health_checks.h
@@ -1,6 +1,6 @@
-// Health checks: probes of endpoints that are suspect, unlisted or ejected, and what their results mean.
+// Health checks: sends probes to endpoints that are suspect, unlisted or ejected, and evaluates the results.
 //
-// Owns the random jitter of probe times. Results go to the OutlierDetector as health events.
+// Owns the random numbers for the jitter of probe times. Results go to the OutlierDetector as health events.
 #pragma once
 
 #include <random>
@@ -9,19 +9,20 @@
 
 namespace zincstack {
 
-/// Sends probes when they are due and judges their results.
+/// Sends probes when they are due and turns their results into health events.
 class HealthChecker {
 public:
-    /// `shortestLatencyObjective`: the strictest one of all request classes.
+    /// `shortestLatencyObjective`: the shortest of all request classes.
     HealthChecker(EndpointRegistry& endpoints, OutlierDetector& outliers, RoutingUpdateSink& sink,
                   bool probingAllowed, Micros shortestLatencyObjective, std::mt19937 random)
         : endpoints_(endpoints), outliers_(outliers), sink_(sink), probingAllowed_(probingAllowed),
           shortestLatencyObjective_(shortestLatencyObjective), random_(random) {}
 
-    /// Probes each endpoint whose health is in doubt, once a kProbeInterval, one probe at a time.
+    /// Probes each endpoint that is suspect, unlisted or ejected once per kProbeInterval plus jitter, with at
+    /// most one probe in flight per endpoint. Does nothing if probing is not allowed.
     void startDueProbes(Micros now);
 
-    /// Takes in a result; that of an endpoint that is not known is ignored.
+    /// Applies the result of a probe. Results for unknown endpoints and of rejected probes change no health.
     void probeCompleted(const ProbeResult& result, Micros now);
 
 private:
--- a/src/planner/health_monitor.h
+++ b/src/planner/health_monitor.h
@@ -1,6 +1,6 @@
-// Health of endpoints as the planner sees it: outlier detection, health checks and slow start, wired together.
+// Health of endpoints: outlier detection, health checks and slow start behind one interface for the planner.
 //
-// Owns the three parts; the state of each endpoint is in the EndpointRegistry.
+// Owns the three modules; the state of each endpoint is in the EndpointRegistry.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace zincstack {
 
-/// What the planner tells and asks about the health of endpoints; see the parts for the contracts.
+/// Forwards each call to the module in charge, where the contracts are documented.
 class HealthMonitor {
 public:
     HealthMonitor(EndpointRegistry& endpoints, RoutingUpdateSink& sink, const FleetConfig& fleet,
@@ -22,7 +22,7 @@
           checks_(endpoints, outliers_, sink, fleet.probingAllowed, shortestLatencyObjective, random) {}
 
     ~HealthMonitor() = default;
-    HealthMonitor(const HealthMonitor&) = delete; // the parts refer to each other
+    HealthMonitor(const HealthMonitor&) = delete; // the modules hold references to each other
     HealthMonitor& operator=(const HealthMonitor&) = delete;
 
     void updateEndpoints(bool isComplete, std::span<const EndpointUpdate> entries, Micros now) {
