--- a/src/planner/fleet_load.h
+++ b/src/planner/fleet_load.h
@@ -11,14 +11,14 @@
 inline constexpr double kTargetOverload = 0.12;
 
 /// Overload above which endpoints that are warming up are protected until admission limits take effect.
-inline constexpr double kOnsetOverload = 0.2;
+inline constexpr double kOverloadOnsetThreshold = 0.2;
 
 /// Load of the whole fleet, evaluated once per report interval.
 struct FleetLoad {
-    double overload = 0;    ///< fraction of the median endpoint's attempts that fail or are late
-    double successRate = 0; ///< attempts that succeeded, per second
-    double attemptRate = 0; ///< attempts per second
-    Micros lastCalmAt{};    ///< last evaluation at which the overload was at most kOnsetOverload
+    double overload = 0;       ///< fraction of the median endpoint's attempts that fail or are late
+    double successRate = 0;    ///< attempts that succeeded, per second
+    double attemptRate = 0;    ///< attempts per second
+    Micros lastBelowOnsetAt{}; ///< last evaluation at which the overload was at most kOverloadOnsetThreshold
 };
 
 } // namespace zincstack
--- a/src/planner/health_monitor.h
+++ b/src/planner/health_monitor.h
@@ -34,9 +34,9 @@
     }
     void startDueProbes(Micros now) { checks_.startDueProbes(now); }
     void probeCompleted(const ProbeResult& result, Micros now) { checks_.probeCompleted(result, now); }
-    /// `demand`: admitted requests per second; `mayClimb`: a new round may begin.
-    void advanceSlowStart(double demand, bool mayClimb, Micros now) {
-        slowStart_.advance(outliers_.fleetLoad(), demand, mayClimb, now);
+    /// `demand`: admitted requests per second; `mayStepUp`: a new round may begin.
+    void advanceSlowStart(double demand, bool mayStepUp, Micros now) {
+        slowStart_.advance(outliers_.fleetLoad(), demand, mayStepUp, now);
     }
     double warmUpFraction(EndpointIndex endpoint, Micros now) const {
         return slowStart_.warmUpFraction(endpoint, now);
--- a/src/planner/outlier_detection.cpp
+++ b/src/planner/outlier_detection.cpp
@@ -143,7 +143,7 @@
 
     FleetSamples samples = collectSamples(meanLatencyObjective, span);
     fleetLoad_.overload = weightedQuantile(samples.saturation, kMedian);
-    if (fleetLoad_.overload <= kOnsetOverload) fleetLoad_.lastCalmAt = now;
+    if (fleetLoad_.overload <= kOverloadOnsetThreshold) fleetLoad_.lastBelowOnsetAt = now;
     const double congestion = weightedQuantile(samples.congestion, kMedian);
     const FleetView view{.totalTargetWeight = totalTargetWeight(endpoints_),
                          .reportsPerView =
--- a/src/planner/slow_start.cpp
+++ b/src/planner/slow_start.cpp
@@ -11,21 +11,21 @@
 /// Factor by which the fraction of the weight may exceed the fraction of the capacity, which is computed for
 /// the slowest warm-up that the settings allow. A round is shorter than a warm-up, so without this factor an
 /// endpoint would often wait a whole round for a step that is nearly due.
-constexpr double kWarmUpLead = 1.25;
+constexpr double kWarmUpLeadFactor = 1.25;
 
 /// Fraction of the overload factor up to which an endpoint may be loaded while it warms up.
-constexpr double kOverloadMargin = 0.75;
+constexpr double kSafeOverloadFraction = 0.75;
 
 /// Hysteresis: an endpoint steps down only if its rate exceeds this multiple of the rate up to which it may
 /// step up.
 constexpr double kStepDownFactor = 1.5;
 
 /// Time from the onset of overload until admission limits show in the load reports.
-constexpr Micros kOnsetTime = 3s;
+constexpr Micros kOverloadOnsetDuration = 3s;
 
 /// At the onset of overload, an endpoint below this fraction of its full capacity gets no requests if a warm
 /// one can serve them: proxies that avoid failing endpoints concentrate their requests on those that answer.
-constexpr double kNearlyWarm = 0.75;
+constexpr double kNearlyWarmFraction = 0.75;
 
 } // namespace
 
@@ -35,24 +35,25 @@
     return safety_.coldCapacityFraction + (1 - safety_.coldCapacityFraction) * std::clamp(age, 0.0, 1.0);
 }
 
-void SlowStart::advance(const FleetLoad& load, double demand, bool mayClimb, Micros now) {
-    const FleetView fleet = viewFleet(load, demand, mayClimb, now);
+void SlowStart::advance(const FleetLoad& load, double demand, bool mayStepUp, Micros now) {
+    const FleetConditions fleet = fleetConditions(load, demand, mayStepUp, now);
     for (EndpointIndex endpoint = 0; endpoint < endpoints_.size(); ++endpoint) {
-        const bool isComplete = endpoints_.slowStartStep[endpoint] == kSlowStartSteps;
-        if (endpoints_.isInService(endpoint) && !isComplete) advanceEndpoint(endpoint, fleet);
+        const bool isAtFullWeight = endpoints_.slowStartStep[endpoint] == kSlowStartSteps;
+        if (endpoints_.isInService(endpoint) && !isAtFullWeight) advanceEndpoint(endpoint, fleet);
     }
 }
 
-SlowStart::FleetView SlowStart::viewFleet(const FleetLoad& load, double demand, bool mayClimb,
-                                          Micros now) const {
-    FleetView fleet{.load = load,
-                    .demand = demand,
-                    .totalTargetWeight = totalTargetWeight(endpoints_),
-                    .totalListedWeight = 0,
-                    .mayClimb = mayClimb,
-                    .isOverloadOnset = load.overload > kOnsetOverload && now - load.lastCalmAt < kOnsetTime,
-                    .hasWarmEndpoint = false,
-                    .now = now};
+SlowStart::FleetConditions SlowStart::fleetConditions(const FleetLoad& load, double demand, bool mayStepUp,
+                                                      Micros now) const {
+    FleetConditions fleet{.load = load,
+                          .demand = demand,
+                          .totalTargetWeight = totalTargetWeight(endpoints_),
+                          .totalListedWeight = 0,
+                          .mayStepUp = mayStepUp,
+                          .isOverloadOnset = load.overload > kOverloadOnsetThreshold &&
+                                             now - load.lastBelowOnsetAt < kOverloadOnsetDuration,
+                          .hasWarmEndpoint = false,
+                          .now = now};
     for (EndpointIndex endpoint = 0; endpoint < endpoints_.size(); ++endpoint) {
         if (!endpoints_.isInService(endpoint)) continue;
         fleet.totalListedWeight += endpoints_.listedWeight[endpoint];
@@ -62,7 +63,7 @@
     return fleet;
 }
 
-void SlowStart::advanceEndpoint(EndpointIndex endpoint, const FleetView& fleet) {
+void SlowStart::advanceEndpoint(EndpointIndex endpoint, const FleetConditions& fleet) {
     int& step = endpoints_.slowStartStep[endpoint];
     const int lowestStep = fleet.hasWarmEndpoint ? 0 : 1; // without a warm endpoint, the others must serve
     step = std::max(step, lowestStep);
@@ -73,23 +74,23 @@
     while (step > lowestStep && mustStepDown(endpoint, fleet)) --step;
 }
 
-bool SlowStart::canStepUp(EndpointIndex endpoint, const FleetView& fleet) const {
-    if (!fleet.mayClimb || fleet.isOverloadOnset || fleet.now < endpoints_.holdUntil[endpoint]) return false;
+bool SlowStart::canStepUp(EndpointIndex endpoint, const FleetConditions& fleet) const {
+    if (!fleet.mayStepUp || fleet.isOverloadOnset || fleet.now < endpoints_.holdUntil[endpoint]) return false;
     const double warmUp = warmUpFraction(endpoint, fleet.now);
     const bool isWarmingUp = warmUp < 1;
     // The endpoint list can name endpoints that do not belong to the fleet, so a warm endpoint steps up only
     // after an attempt has succeeded there.
     if (!endpoints_.hasReported[endpoint] && !isWarmingUp) return false;
     const int next = endpoints_.slowStartStep[endpoint] + 1;
-    if (next > kSlowStartSteps * kWarmUpLead * warmUp) return false;
+    if (next > kSlowStartSteps * kWarmUpLeadFactor * warmUp) return false;
     const bool hasRateLimit = fleet.load.successRate > 0 && isWarmingUp;
     return !hasRateLimit || expectedRate(endpoint, next, fleet) <= safeRate(endpoint, fleet);
 }
 
-bool SlowStart::mustStepDown(EndpointIndex endpoint, const FleetView& fleet) const {
+bool SlowStart::mustStepDown(EndpointIndex endpoint, const FleetConditions& fleet) const {
     const double warmUp = warmUpFraction(endpoint, fleet.now);
     if (fleet.load.successRate <= 0 || warmUp >= 1) return false;
-    if (fleet.isOverloadOnset && warmUp < kNearlyWarm) return true;
+    if (fleet.isOverloadOnset && warmUp < kNearlyWarmFraction) return true;
     const double expected = expectedRate(endpoint, endpoints_.slowStartStep[endpoint], fleet);
     return expected > kStepDownFactor * safeRate(endpoint, fleet);
 }
@@ -97,14 +98,14 @@
 /// Requests per second that the endpoint can safely serve at its age: its share, by listed weight, of the
 /// attempts that succeed in the fleet, scaled by its warm-up fraction, the allowed overload and the fleet's
 /// overload.
-double SlowStart::safeRate(EndpointIndex endpoint, const FleetView& fleet) const {
-    return kOverloadMargin * safety_.overloadFactor * warmUpFraction(endpoint, fleet.now) *
+double SlowStart::safeRate(EndpointIndex endpoint, const FleetConditions& fleet) const {
+    return kSafeOverloadFraction * safety_.overloadFactor * warmUpFraction(endpoint, fleet.now) *
            (1 - fleet.load.overload) * fleet.load.successRate * endpoints_.listedWeight[endpoint] /
            fleet.totalListedWeight;
 }
 
 /// Requests per second that the endpoint would get at `step`.
-double SlowStart::expectedRate(EndpointIndex endpoint, int step, const FleetView& fleet) const {
+double SlowStart::expectedRate(EndpointIndex endpoint, int step, const FleetConditions& fleet) const {
     const double weight = endpoints_.listedWeight[endpoint] * step / kSlowStartSteps;
     const double total = fleet.totalTargetWeight - targetWeight(endpoints_, endpoint) + weight;
     return fleet.demand * weight / std::max(total, weight);
--- a/src/planner/slow_start.h
+++ b/src/planner/slow_start.h
@@ -39,27 +39,27 @@
 
     /// Moves endpoints up by a step, no faster than the slowest warm-up allows, and down if an endpoint that
     /// is warming up would get more requests than it can serve. `demand`: admitted requests per second;
-    /// `mayClimb`: a new round may begin.
-    void advance(const FleetLoad& load, double demand, bool mayClimb, Micros now);
+    /// `mayStepUp`: a new round may begin.
+    void advance(const FleetLoad& load, double demand, bool mayStepUp, Micros now);
 
 private:
     /// Fleet-wide inputs of one call of `advance`, the same for all endpoints.
-    struct FleetView {
+    struct FleetConditions {
         const FleetLoad& load;
         double demand;
         double totalTargetWeight;
         double totalListedWeight;
-        bool mayClimb;
+        bool mayStepUp;
         bool isOverloadOnset; ///< overload has begun so recently that admission limits cannot show in reports
         bool hasWarmEndpoint; ///< a warm endpoint gets requests, so one that is warming up may get none
         Micros now;
     };
-    FleetView viewFleet(const FleetLoad& load, double demand, bool mayClimb, Micros now) const;
-    void advanceEndpoint(EndpointIndex endpoint, const FleetView& fleet);
-    bool canStepUp(EndpointIndex endpoint, const FleetView& fleet) const;
-    bool mustStepDown(EndpointIndex endpoint, const FleetView& fleet) const;
-    double safeRate(EndpointIndex endpoint, const FleetView& fleet) const;
-    double expectedRate(EndpointIndex endpoint, int step, const FleetView& fleet) const;
+    FleetConditions fleetConditions(const FleetLoad& load, double demand, bool mayStepUp, Micros now) const;
+    void advanceEndpoint(EndpointIndex endpoint, const FleetConditions& fleet);
+    bool canStepUp(EndpointIndex endpoint, const FleetConditions& fleet) const;
+    bool mustStepDown(EndpointIndex endpoint, const FleetConditions& fleet) const;
+    double safeRate(EndpointIndex endpoint, const FleetConditions& fleet) const;
+    double expectedRate(EndpointIndex endpoint, int step, const FleetConditions& fleet) const;
 
     EndpointRegistry& endpoints_;
     const SafetyLimits safety_;
--- a/src/planner/weighted_quantile.h
+++ b/src/planner/weighted_quantile.h
@@ -14,11 +14,11 @@
     friend auto operator<=>(const WeightedSample&, const WeightedSample&) = default;
 };
 
-/// Returns the smallest value such that the samples up to it have at least the fraction `part` of the total
-/// weight; 0 if there are no samples. Sorts the samples.
-inline double weightedQuantile(std::vector<WeightedSample>& samples, double part) {
+/// Returns the smallest value such that the samples up to it have at least the fraction `fraction` of the
+/// total weight; 0 if there are no samples. Sorts the samples.
+inline double weightedQuantile(std::vector<WeightedSample>& samples, double fraction) {
     double remaining = 0;
-    for (const WeightedSample& sample : samples) remaining += sample.weight * part;
+    for (const WeightedSample& sample : samples) remaining += sample.weight * fraction;
     std::ranges::sort(samples);
     for (const WeightedSample& sample : samples) {
         remaining -= sample.weight;
