--- a/src/planner/endpoint_registry.cpp
+++ b/src/planner/endpoint_registry.cpp
@@ -50,7 +50,7 @@
     slowStartStep.emplace_back();
     probeInFlight.emplace_back();
     nextProbeAt.emplace_back();
-    consecutiveGoodProbes.emplace_back();
+    consecutiveProbeSuccesses.emplace_back();
     excluded.emplace_back();
     excludedAt.emplace_back();
     hasReported.emplace_back();
@@ -59,8 +59,8 @@
     latencySum.emplace_back();
     saturation.emplace_back();
     inFlight.emplace_back();
-    reportsWhenLastSeen.emplace_back();
-    attemptsWhenLastSeen.emplace_back();
+    fleetReportsAtLastReport.emplace_back();
+    fleetAttemptsAtLastReport.emplace_back();
 }
 
 void EndpointRegistry::resetEntry(EndpointIndex endpoint, const EndpointUpdate& entry) {
@@ -76,7 +76,7 @@
     slowStartStep[endpoint] = 0;
     probeInFlight[endpoint] = 0;
     nextProbeAt[endpoint] = Micros{};
-    consecutiveGoodProbes[endpoint] = 0;
+    consecutiveProbeSuccesses[endpoint] = 0;
     excluded[endpoint] = 0;
     excludedAt[endpoint] = Micros{};
     hasReported[endpoint] = 0;
@@ -85,8 +85,8 @@
     latencySum[endpoint] = 0;
     saturation[endpoint] = 0;
     inFlight[endpoint] = 0;
-    reportsWhenLastSeen[endpoint] = 0;
-    attemptsWhenLastSeen[endpoint] = 0;
+    fleetReportsAtLastReport[endpoint] = 0;
+    fleetAttemptsAtLastReport[endpoint] = 0;
 }
 
 } // namespace zincstack
--- a/src/planner/endpoint_registry.h
+++ b/src/planner/endpoint_registry.h
@@ -14,7 +14,7 @@
 using EndpointIndex = std::size_t;
 
 /// A duration as a floating-point number of seconds.
-inline double seconds(Micros span) { return static_cast<double>(span.count()) / 1e6; }
+inline double seconds(Micros duration) { return static_cast<double>(duration.count()) / 1e6; }
 
 /// Health of an endpoint as the planner judges it.
 enum class HealthState : std::uint8_t {
@@ -47,7 +47,7 @@
     std::vector<int> slowStartStep;  ///< 0 to kSlowStartSteps, which is the full listed weight
     std::vector<char> probeInFlight;
     std::vector<Micros> nextProbeAt;
-    std::vector<int> consecutiveGoodProbes;
+    std::vector<int> consecutiveProbeSuccesses;
 
     std::vector<char> excluded;     ///< excluded from all tables, inherited ones included
     std::vector<Micros> excludedAt; ///< when the exclusion was last ordered
@@ -59,8 +59,10 @@
     std::vector<double> saturation; ///< smoothed fraction of attempts that fail or are late
     /// Requests in flight in its last report, or else its queue length, or 0 if the report has neither.
     std::vector<double> inFlight;
-    std::vector<double> reportsWhenLastSeen;  ///< fleet-wide report count at its last report
-    std::vector<double> attemptsWhenLastSeen; ///< fleet-wide attempt count at its last report
+    /// Fleet-wide counts at its last report, or since then at its addition to service, readmission or weight
+    /// reduction.
+    std::vector<double> fleetReportsAtLastReport;
+    std::vector<double> fleetAttemptsAtLastReport;
 
     /// Number of entries, including free ones.
     EndpointIndex size() const { return id.size(); }
--- a/src/planner/health_checks.cpp
+++ b/src/planner/health_checks.cpp
@@ -45,10 +45,10 @@
     endpoints_.probeInFlight[endpoint] = 0;
     if (result.status == ProbeStatus::Rejected) return;
     const HealthEvent event = eventOf(endpoint, result);
-    int& goodProbes = endpoints_.consecutiveGoodProbes[endpoint];
-    goodProbes = event == HealthEvent::ProbeSucceeded ? goodProbes + 1 : 0;
+    int& successes = endpoints_.consecutiveProbeSuccesses[endpoint];
+    successes = event == HealthEvent::ProbeSucceeded ? successes + 1 : 0;
     outliers_.handleEvent(endpoint, event, now);
-    if (goodProbes >= kProbesToReadmit && now >= endpoints_.holdUntil[endpoint])
+    if (successes >= kProbesToReadmit && now >= endpoints_.holdUntil[endpoint])
         outliers_.handleEvent(endpoint, HealthEvent::RecoveryConfirmed, now);
 }
 
@@ -60,22 +60,22 @@
     const bool isEjected = endpoints_.health[endpoint] == HealthState::Ejected;
     const bool answeredInTime =
         result.status == ProbeStatus::Answered && result.latency < shortestLatencyObjective_;
-    if (answeredInTime && !hung && (isEjected || !isLoaded(endpoint, result)))
+    if (answeredInTime && !hung && (isEjected || !isHeavilyLoaded(endpoint, result)))
         return HealthEvent::ProbeSucceeded;
     return isDead(endpoint, result) || hung || isEjected ? HealthEvent::ProbeFailed : HealthEvent::ProbeSlow;
 }
 
-bool HealthChecker::hasHardlyAnswered(EndpointIndex endpoint) const {
+bool HealthChecker::failsNearlyAllAttempts(EndpointIndex endpoint) const {
     const double successes = endpoints_.attempts[endpoint] - endpoints_.failures[endpoint];
     return successes <= (1 - kHangFailureRatio) * endpoints_.attempts[endpoint];
 }
 
 bool HealthChecker::isHung(EndpointIndex endpoint) const {
     return endpoints_.health[endpoint] == HealthState::Suspect &&
-           endpoints_.attempts[endpoint] >= kMinAttempts && hasHardlyAnswered(endpoint);
+           endpoints_.attempts[endpoint] >= kMinAttempts && failsNearlyAllAttempts(endpoint);
 }
 
-bool HealthChecker::isLoaded(EndpointIndex endpoint, const ProbeResult& result) const {
+bool HealthChecker::isHeavilyLoaded(EndpointIndex endpoint, const ProbeResult& result) const {
     const double slowLatency = kSlowProbeFraction * seconds(shortestLatencyObjective_);
     if (seconds(result.latency) > slowLatency) return true;
     const auto inFlight = [&](EndpointIndex other) {
@@ -90,7 +90,7 @@
 /// endpoint is reduced instead of ejecting it.
 bool HealthChecker::isDead(EndpointIndex endpoint, const ProbeResult& result) const {
     if (result.status == ProbeStatus::Answered) return false;
-    if (hasHardlyAnswered(endpoint)) return true;
+    if (failsNearlyAllAttempts(endpoint)) return true;
     return result.status != ProbeStatus::TimedOut &&
            (endpoints_.failureRatio(endpoint) >= kOutlierFailureRatio ||
             endpoints_.health[endpoint] == HealthState::Unlisted);
--- a/src/planner/health_checks.h
+++ b/src/planner/health_checks.h
@@ -26,9 +26,10 @@
     void probeCompleted(const ProbeResult& result, Micros now);
 
 private:
-    bool hasHardlyAnswered(EndpointIndex endpoint) const;
+    /// Also true if no attempts were reported.
+    bool failsNearlyAllAttempts(EndpointIndex endpoint) const;
     bool isHung(EndpointIndex endpoint) const;
-    bool isLoaded(EndpointIndex endpoint, const ProbeResult& result) const;
+    bool isHeavilyLoaded(EndpointIndex endpoint, const ProbeResult& result) const;
     bool isDead(EndpointIndex endpoint, const ProbeResult& result) const;
     HealthEvent eventOf(EndpointIndex endpoint, const ProbeResult& result) const;
 
--- a/src/planner/outlier_detection.cpp
+++ b/src/planner/outlier_detection.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 /// Decay of the figures from load reports, as a factor per second: decisions rest on recent attempts.
-constexpr double kReportDecay = 0.2;
+constexpr double kReportDecayPerSecond = 0.2;
 
 /// Decay of an endpoint's smoothed saturation, as a factor per second. It is slower than the decay of the
 /// report figures, because slowness has to last before it counts.
-constexpr double kSaturationDecay = 0.5;
+constexpr double kSaturationDecayPerSecond = 0.5;
 
 /// Margin by which the failure ratio of a failing endpoint must exceed the fleet's overload: if all endpoints
 /// fail, none is an outlier.
@@ -30,16 +30,16 @@
 
 /// Reporting cycles without a report on an endpoint after which it can count as silent. In one cycle, each
 /// zone reports once on each endpoint.
-constexpr double kSilentReports = 3;
+constexpr double kSilentCycles = 3;
 
 /// Attempts that a silent endpoint should have got since its last report, according to its target weight.
-constexpr double kSilentAttempts = 10;
+constexpr double kSilentExpectedAttempts = 10;
 
 /// Minimum time that an endpoint stays ejected.
 constexpr Micros kMinEjectionTime = 3s;
 
 /// Smoothed saturation (fraction of attempts that fail or are late) from which an endpoint can count as slow.
-constexpr double kSlowFraction = 0.4;
+constexpr double kSlowSaturation = 0.4;
 
 /// Fraction of the fleet's weight whose saturation must be below kTargetOverload for a slow endpoint to be an
 /// outlier.
@@ -72,9 +72,9 @@
         {Ejected, MissingFromList, Removed, NoAction},
         {Unlisted, Listed, Healthy, NoAction},
         {Unlisted, ProbeFailed, Removed, NoAction},
-        {Healthy, ReportsBad, Suspect, StartProbing},
-        {Suspect, ReportsBad, Suspect, StartProbing},
-        {Suspect, ReportsGood, Healthy, NoAction},
+        {Healthy, OutlierDetected, Suspect, StartProbing},
+        {Suspect, OutlierDetected, Suspect, StartProbing},
+        {Suspect, NoOutlierDetected, Healthy, NoAction},
         {Suspect, ProbeFailed, Ejected, Eject},
         {Suspect, ProbeSlow, Healthy, ReduceWeight},
         {Ejected, RecoveryConfirmed, Healthy, Readmit},
@@ -121,8 +121,8 @@
     reportingZones_.insert(report.proxyZone);
     ++reportCount_;
     attemptCount_ += report.attempts;
-    endpoints_.reportsWhenLastSeen[endpoint] = reportCount_;
-    endpoints_.attemptsWhenLastSeen[endpoint] = attemptCount_;
+    endpoints_.fleetReportsAtLastReport[endpoint] = reportCount_;
+    endpoints_.fleetAttemptsAtLastReport[endpoint] = attemptCount_;
     endpoints_.attempts[endpoint] += report.attempts;
     endpoints_.failures[endpoint] += failures;
     endpoints_.latencySum[endpoint] += successes * seconds(report.meanLatency);
@@ -135,23 +135,24 @@
     const Micros minInterval = fleet_.reportInterval * 9 / 10;
     if (!hasNewReports_ || now - evaluatedAt_ < minInterval) return {};
     const Micros sinceEvaluation = evaluatedAt_ > 0us ? now - evaluatedAt_ : 0us;
-    const double span = seconds(std::max(sinceEvaluation, fleet_.reportInterval));
-    fleetLoad_.successRate = std::exchange(successesSinceEvaluation_, 0) / span;
-    fleetLoad_.attemptRate = (attemptCount_ - std::exchange(attemptsAtLastEvaluation_, attemptCount_)) / span;
+    const double elapsedSeconds = seconds(std::max(sinceEvaluation, fleet_.reportInterval));
+    fleetLoad_.successRate = std::exchange(successesSinceEvaluation_, 0) / elapsedSeconds;
+    fleetLoad_.attemptRate =
+        (attemptCount_ - std::exchange(attemptsAtLastEvaluation_, attemptCount_)) / elapsedSeconds;
     hasNewReports_ = false;
     evaluatedAt_ = now;
 
-    FleetSamples samples = collectSamples(meanLatencyObjective, span);
+    FleetSamples samples = collectSamples(meanLatencyObjective, elapsedSeconds);
     fleetLoad_.overload = weightedQuantile(samples.saturation, kMedian);
     if (fleetLoad_.overload <= kOverloadOnsetThreshold) fleetLoad_.lastBelowOnsetAt = now;
     const double congestion = weightedQuantile(samples.congestion, kMedian);
-    const FleetView view{.totalTargetWeight = totalTargetWeight(endpoints_),
-                         .reportsPerView =
-                             static_cast<double>(endpoints_.knownCount() * reportingZones_.size()),
-                         .healthySaturation = weightedQuantile(samples.saturation, kHealthyQuantile)};
-    const double decay = std::pow(kReportDecay, span);
+    const FleetBaseline baseline{.totalTargetWeight = totalTargetWeight(endpoints_),
+                                 .reportsPerCycle =
+                                     static_cast<double>(endpoints_.knownCount() * reportingZones_.size()),
+                                 .healthySaturation = weightedQuantile(samples.saturation, kHealthyQuantile)};
+    const double decay = std::pow(kReportDecayPerSecond, elapsedSeconds);
     for (EndpointIndex endpoint = 0; endpoint < endpoints_.size(); ++endpoint) {
-        if (endpoints_.isInService(endpoint)) evaluateEndpoint(endpoint, view, now);
+        if (endpoints_.isInService(endpoint)) evaluateEndpoint(endpoint, baseline, now);
         endpoints_.attempts[endpoint] *= decay;
         endpoints_.failures[endpoint] *= decay;
         endpoints_.latencySum[endpoint] *= decay;
@@ -160,54 +161,56 @@
     return congestion;
 }
 
-OutlierDetector::FleetSamples OutlierDetector::collectSamples(double meanLatencyObjective, double span) {
+OutlierDetector::FleetSamples OutlierDetector::collectSamples(double meanLatencyObjective,
+                                                              double elapsedSeconds) {
     FleetSamples samples;
     for (EndpointIndex endpoint = 0; endpoint < endpoints_.size(); ++endpoint)
         if (endpoints_.isInService(endpoint) && endpoints_.attempts[endpoint] > 0)
-            addSample(endpoint, meanLatencyObjective, span, samples);
+            addSample(endpoint, meanLatencyObjective, elapsedSeconds, samples);
     return samples;
 }
 
-void OutlierDetector::addSample(EndpointIndex endpoint, double meanLatencyObjective, double span,
+void OutlierDetector::addSample(EndpointIndex endpoint, double meanLatencyObjective, double elapsedSeconds,
                                 FleetSamples& samples) {
     const double attempts = endpoints_.attempts[endpoint];
     const double successes = attempts - endpoints_.failures[endpoint];
-    const double meanLatency =
+    const double relativeLatency =
         successes > 0 ? endpoints_.latencySum[endpoint] / successes / meanLatencyObjective : 1;
     const double lateFraction =
-        std::clamp((meanLatency - kLateLatencyStart) / (kLateLatencyEnd - kLateLatencyStart), 0.0, 1.0);
+        std::clamp((relativeLatency - kLateLatencyStart) / (kLateLatencyEnd - kLateLatencyStart), 0.0, 1.0);
     const double late = successes * lateFraction;
     const double saturation = (endpoints_.failures[endpoint] + late) / attempts;
     double& smoothed = endpoints_.saturation[endpoint];
-    smoothed = saturation + std::pow(kSaturationDecay, span) * (smoothed - saturation);
+    smoothed = saturation + std::pow(kSaturationDecayPerSecond, elapsedSeconds) * (smoothed - saturation);
     const double weight = targetWeight(endpoints_, endpoint);
     samples.saturation.push_back({saturation, weight});
     // Failures indicate congestion only if answers are slow as well: load shedding does not help against lost
     // answers or errors.
-    const double slowness = std::clamp(2 * meanLatency / kLateLatencyStart - 1, 0.0, 1.0);
+    const double slowness = std::clamp(2 * relativeLatency / kLateLatencyStart - 1, 0.0, 1.0);
     const double congestion = saturation - (1 - slowness) * endpoints_.failureRatio(endpoint);
     samples.congestion.push_back({congestion, weight});
     samples.attempts += attempts;
 }
 
-void OutlierDetector::evaluateEndpoint(EndpointIndex endpoint, const FleetView& view, Micros now) {
+void OutlierDetector::evaluateEndpoint(EndpointIndex endpoint, const FleetBaseline& baseline, Micros now) {
     const bool hasEnoughAttempts = endpoints_.attempts[endpoint] >= kMinAttempts;
-    const bool isOutlier = isSilent(endpoint, view) ||
-                           (hasEnoughAttempts && (isFailing(endpoint) || isSlow(endpoint, view, now)));
+    const bool isOutlier = isSilent(endpoint, baseline) ||
+                           (hasEnoughAttempts && (isFailing(endpoint) || isSlow(endpoint, baseline, now)));
     if (isOutlier)
-        handleEvent(endpoint, HealthEvent::ReportsBad, now);
+        handleEvent(endpoint, HealthEvent::OutlierDetected, now);
     else if (hasEnoughAttempts)
-        handleEvent(endpoint, HealthEvent::ReportsGood, now);
+        handleEvent(endpoint, HealthEvent::NoOutlierDetected, now);
 }
 
 /// Proxies avoid an endpoint whose attempts fail, so missing reports are a symptom as well. Silence is
 /// measured in reports and attempts, not in time, because a reporting cycle takes long if reports queue up.
-bool OutlierDetector::isSilent(EndpointIndex endpoint, const FleetView& view) const {
+bool OutlierDetector::isSilent(EndpointIndex endpoint, const FleetBaseline& baseline) const {
     if (endpoints_.excluded[endpoint]) return false;
-    const double missedReports = reportCount_ - endpoints_.reportsWhenLastSeen[endpoint];
-    const double missedAttempts = attemptCount_ - endpoints_.attemptsWhenLastSeen[endpoint];
-    return missedReports > kSilentReports * view.reportsPerView &&
-           missedAttempts * targetWeight(endpoints_, endpoint) > kSilentAttempts * view.totalTargetWeight;
+    const double missedReports = reportCount_ - endpoints_.fleetReportsAtLastReport[endpoint];
+    const double missedAttempts = attemptCount_ - endpoints_.fleetAttemptsAtLastReport[endpoint];
+    return missedReports > kSilentCycles * baseline.reportsPerCycle &&
+           missedAttempts * targetWeight(endpoints_, endpoint) >
+               kSilentExpectedAttempts * baseline.totalTargetWeight;
 }
 
 bool OutlierDetector::isFailing(EndpointIndex endpoint) const {
@@ -215,9 +218,10 @@
     return failureRatio >= kOutlierFailureRatio && failureRatio > fleetLoad_.overload + kOutlierMargin;
 }
 
-bool OutlierDetector::isSlow(EndpointIndex endpoint, const FleetView& view, Micros now) const {
-    return endpoints_.saturation[endpoint] >= kSlowFraction && view.healthySaturation < kTargetOverload &&
-           endpoints_.slowStartStep[endpoint] > 1 && now - endpoints_.healthChangedAt[endpoint] > kSettleTime;
+bool OutlierDetector::isSlow(EndpointIndex endpoint, const FleetBaseline& baseline, Micros now) const {
+    return endpoints_.saturation[endpoint] >= kSlowSaturation &&
+           baseline.healthySaturation < kTargetOverload && endpoints_.slowStartStep[endpoint] > 1 &&
+           now - endpoints_.healthChangedAt[endpoint] > kSettleTime;
 }
 
 void OutlierDetector::handleEvent(EndpointIndex endpoint, HealthEvent event, Micros now) {
@@ -269,13 +273,13 @@
     endpoints_.weightReduced[endpoint] = isReduced ? 1 : 0;
     endpoints_.holdUntil[endpoint] = now + (isReduced ? kMinReducedTime : kMinEjectionTime);
     endpoints_.nextProbeAt[endpoint] = now + kProbeInterval;
-    endpoints_.consecutiveGoodProbes[endpoint] = 0;
+    endpoints_.consecutiveProbeSuccesses[endpoint] = 0;
 }
 
 void OutlierDetector::restartObservation(EndpointIndex endpoint, Micros now) {
     endpoints_.healthChangedAt[endpoint] = now;
-    endpoints_.reportsWhenLastSeen[endpoint] = reportCount_;
-    endpoints_.attemptsWhenLastSeen[endpoint] = attemptCount_;
+    endpoints_.fleetReportsAtLastReport[endpoint] = reportCount_;
+    endpoints_.fleetAttemptsAtLastReport[endpoint] = attemptCount_;
     endpoints_.attempts[endpoint] = 0;
     endpoints_.failures[endpoint] = 0;
     endpoints_.latencySum[endpoint] = 0;
--- a/src/planner/outlier_detection.h
+++ b/src/planner/outlier_detection.h
@@ -25,8 +25,8 @@
     DrainStarted,      ///< the endpoint list names it as draining
     RemovedFromList,   ///< the endpoint list removed it, and removals are binding
     MissingFromList,   ///< the endpoint list removed it; a health check has to confirm that
-    ReportsBad,        ///< load reports show it as an outlier
-    ReportsGood,       ///< load reports do not show it as an outlier
+    OutlierDetected,   ///< load reports show it as an outlier
+    NoOutlierDetected, ///< load reports do not show it as an outlier
     ProbeFailed,       ///< a health check found it dead or hung
     ProbeSlow,         ///< a health check found it slow or under heavy load
     ProbeSucceeded,    ///< a health check found it healthy
@@ -84,17 +84,18 @@
         double attempts = 0;
     };
     /// Fleet-wide figures that an endpoint is compared with.
-    struct FleetView {
+    struct FleetBaseline {
         double totalTargetWeight;
-        double reportsPerView;    ///< reports in which each zone covers each endpoint once
+        double reportsPerCycle;   ///< reports in which each zone covers each endpoint once
         double healthySaturation; ///< saturation that the healthiest third of the weight does not exceed
     };
-    FleetSamples collectSamples(double meanLatencyObjective, double span);
-    void addSample(EndpointIndex endpoint, double meanLatencyObjective, double span, FleetSamples& samples);
-    void evaluateEndpoint(EndpointIndex endpoint, const FleetView& view, Micros now);
-    bool isSilent(EndpointIndex endpoint, const FleetView& view) const;
+    FleetSamples collectSamples(double meanLatencyObjective, double elapsedSeconds);
+    void addSample(EndpointIndex endpoint, double meanLatencyObjective, double elapsedSeconds,
+                   FleetSamples& samples);
+    void evaluateEndpoint(EndpointIndex endpoint, const FleetBaseline& baseline, Micros now);
+    bool isSilent(EndpointIndex endpoint, const FleetBaseline& baseline) const;
     bool isFailing(EndpointIndex endpoint) const;
-    bool isSlow(EndpointIndex endpoint, const FleetView& view, Micros now) const;
+    bool isSlow(EndpointIndex endpoint, const FleetBaseline& baseline, Micros now) const;
 
     void reportTransition(EndpointIndex endpoint, HealthState next);
     void perform(HealthAction action, EndpointIndex endpoint, Micros now);
