--- a/tests/endpoint_registry_test.cpp
+++ b/tests/endpoint_registry_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint registry: what happens to the entry of an endpoint that is gone for good.
+// Endpoint registry: what happens to the entry of an endpoint that has been removed.
 #include <gtest/gtest.h>
 
 #include "settled_model.h"
@@ -6,17 +6,18 @@
 namespace zincstack::tests {
 namespace {
 
-/// Each joining proxy was told of every endpoint that had ever ended, and what was kept of them grew for good.
-TEST(EndpointRegistry, ForgetsWhatEndedLongAgoAndReusesItsEntry) {
+/// If removed endpoints were never forgotten, each joining proxy would be sent every endpoint that was ever
+/// removed, and the state kept for them would grow without limit.
+TEST(EndpointRegistry, ForgetsEndpointsRemovedLongAgoAndReusesTheirEntries) {
     const auto model = settledModel(4);
     model->forgetsEndpoints = true;
     model->updateEndpoint(3, EndpointState::Removed);
     model->advance(20s);
-    EXPECT_TRUE(model->excluded.contains({3})); // an inherited table may name it still
+    EXPECT_TRUE(model->excluded.contains({3})); // an inherited table may still name it
     model->advance(15s);
     EXPECT_FALSE(model->excluded.contains({3}));
     model->updateEndpoint(9, EndpointState::Ready, 0us);
-    model->batch([&] { // late input for the forgotten endpoint is not the new one's
+    model->batch([&] { // late input for the forgotten endpoint must not affect the new one
         model->planner->reportLoad({{3}, {0}, 100, 100, 0us, 1s, {}});
         model->planner->probeCompleted({{3}, ProbeStatus::Unreachable, 0us, {}});
     });
--- a/tests/health_checks_test.cpp
+++ b/tests/health_checks_test.cpp
@@ -1,4 +1,4 @@
-// Health checks: what probes decide about endpoints that are in doubt.
+// Health checks: how probe results decide about endpoints that are suspect, unlisted or ejected.
 #include <gtest/gtest.h>
 
 #include "settled_model.h"
@@ -6,7 +6,9 @@
 namespace zincstack::tests {
 namespace {
 
-TEST(HealthChecks, AnEndpointThatOnlyTheListLacksStaysWhileProbesFindIt) {
+/// The endpoint list can wrongly report a running endpoint as removed; it must stay in service until a probe
+/// fails.
+TEST(HealthChecks, AnUnlistedEndpointStaysInServiceWhileProbesSucceed) {
     ProxyModel model;
     model.safety.removalIsBinding = false;
     for (std::uint64_t id = 1; id <= 4; ++id) model.addEndpoint(id);
@@ -21,7 +23,7 @@
     }
 }
 
-TEST(HealthChecks, AConfirmedOutlierIsEjectedAndComesBackByFifths) {
+TEST(HealthChecks, AConfirmedOutlierIsEjectedAndReadmittedWithSlowStart) {
     const auto model = settledModel(6);
     model->reportLoad(20, [](auto id) { return id == 2 ? 0.8 : 0.0; });
     EXPECT_EQ(model->probes, std::vector<EndpointId>{{2}});
@@ -33,12 +35,14 @@
         model->completeProbes(ProbeStatus::Answered);
     }
     EXPECT_FALSE(model->excluded.contains({2}));
-    EXPECT_LE(weightOf(*model, 2), 0.4); // by fifths, not at once
+    EXPECT_LE(weightOf(*model, 2), 0.4); // slow start, not the full weight
     model->advance(4s);
     EXPECT_DOUBLE_EQ(weightOf(*model, 2), 1);
 }
 
-TEST(HealthChecks, AGoodProbeClearsAnEndpointThatAnswersButNotOneThatHangs) {
+/// A hung endpoint can still answer shallow probes: an answered probe must not clear it if all of its
+/// attempts fail.
+TEST(HealthChecks, AnAnsweredProbeClearsAnEndpointThatServesRequestsButNotOneThatHangs) {
     for (const double failureRatio : {0.6, 1.0}) {
         const auto model = settledModel(6);
         for (int second = 0; second < 4; ++second) {
--- a/tests/outlier_detection_test.cpp
+++ b/tests/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Outlier detection: which endpoints are suspected, and how many may be ejected.
+// Outlier detection: which endpoints become suspect, and what fraction of the fleet may be ejected.
 #include <gtest/gtest.h>
 
 #include "settled_model.h"
@@ -6,7 +6,9 @@
 namespace zincstack::tests {
 namespace {
 
-TEST(OutlierDetection, SlowEndpointsLoseAFifthOnceAProbeAgreesIfAThirdIsHealthy) {
+/// Load reports alone must not lower the weight of a slow endpoint: a health check has to confirm the
+/// slowness first.
+TEST(OutlierDetection, SlowEndpointsLoseOneStepAfterAProbeTimesOutWhileAThirdIsHealthy) {
     for (const std::uint64_t slowCount : {1, 4}) {
         const auto model = settledModel(6);
         for (int second = 0; second < 6; ++second) {
@@ -21,9 +23,11 @@
     }
 }
 
-TEST(OutlierDetection, NoEndpointIsSilentBeforeWholeViewsHaveCome) {
+/// If reports queue up, an endpoint goes without a report for several intervals although it is healthy. It
+/// must not be probed as silent.
+TEST(OutlierDetection, NoEndpointCountsAsSilentWithinTheFirstReportingCycles) {
     const auto model = settledModel(40);
-    for (std::uint64_t second = 0; second < 8; ++second) { // reports pile up: a view takes four intervals
+    for (std::uint64_t second = 0; second < 8; ++second) { // reports queue up: four intervals a cycle
         const std::uint64_t first = 1 + second % 4 * 10;
         model->planner->beginBatch(model->now);
         for (std::uint64_t id = first; id < first + 10; ++id)
@@ -34,7 +38,8 @@
     EXPECT_TRUE(model->probes.empty());
 }
 
-TEST(OutlierDetection, AtMostAThirdIsEjectedWhateverTheReportsSay) {
+/// Wrong reports on half of the fleet must not take half of its capacity out of service.
+TEST(OutlierDetection, AtMostAThirdOfTheFleetIsEjected) {
     const auto model = settledModel(6);
     for (int second = 0; second < 5; ++second) {
         model->reportLoad(20, [](auto id) { return id <= 3 ? 1.0 : 0.0; });
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow start: how fast new endpoints get work, and when they have to give it back.
+// Slow start: how fast new endpoints gain weight, and when they lose it again.
 #include <gtest/gtest.h>
 
 #include "settled_model.h"
@@ -6,7 +6,7 @@
 namespace zincstack::tests {
 namespace {
 
-TEST(SlowStart, ANewEndpointClimbsByFifthsAndNoFasterThanItWarmsUp) {
+TEST(SlowStart, ANewEndpointGainsWeightStepByStepAndNoFasterThanItWarmsUp) {
     const auto model = settledModel(6);
     model->updateEndpoint(9, EndpointState::Ready, model->now);
     model->advance(1s);
@@ -22,7 +22,8 @@
     EXPECT_TRUE(model->violations.empty());
 }
 
-TEST(SlowStart, AnUnknownEndpointClimbsOnlyOnceItHasAnswered) {
+/// The endpoint list can name endpoints that do not belong to the fleet; they must not get full weight.
+TEST(SlowStart, AWarmEndpointStepsUpOnlyAfterItHasAnswered) {
     const auto model = settledModel(6);
     model->updateEndpoint(9, EndpointState::Ready, 0us);
     model->advance(4s);
@@ -32,7 +33,7 @@
     EXPECT_DOUBLE_EQ(weightOf(*model, 9), 1);
 }
 
-TEST(SlowStart, AnEndpointThatWarmsUpIsLoweredUnderOverloadUnlessItIsTheLast) {
+TEST(SlowStart, AnEndpointThatWarmsUpLosesItsWeightUnderOverloadUnlessNoWarmOneIsLeft) {
     const auto model = settledModel(3);
     model->updateEndpoint(9, EndpointState::Ready, model->now);
     model->advance(2s);
