--- a/src/planner/outlier_detection.h
+++ b/src/planner/outlier_detection.h
@@ -46,7 +46,7 @@
 /// Minimum number of attempts for which the figures of an endpoint, or of the fleet, are conclusive.
 inline constexpr double kMinAttempts = 3;
 
-/// Minimum fraction of failed attempts from which an endpoint can count as failing.
+/// Fraction of failed attempts from which an endpoint can count as failing.
 inline constexpr double kOutlierFailureRatio = 0.5;
 
 /// Time between two health checks of an endpoint, without jitter.
@@ -71,7 +71,8 @@
     /// attempts were reported. `meanLatencyObjective` is in seconds.
     std::optional<double> evaluateReports(double meanLatencyObjective, Micros now);
 
-    /// Runs the health state machine for one endpoint.
+    /// Runs the health state machine for one endpoint. Does nothing if the state has no transition for the
+    /// event, or if an ejection would exceed the limit on ejected weight.
     void handleEvent(EndpointIndex endpoint, HealthEvent event, Micros now);
 
     const FleetLoad& fleetLoad() const { return fleetLoad_; }
