--- a/src/planner/outlier_detection.cpp
+++ b/src/planner/outlier_detection.cpp
@@ -13,43 +13,49 @@
 
 namespace {
 
-/// What a second leaves of the figures from load reports: they fade, so that a judgement rests on recent attempts.
-constexpr double kReportDecay = 0.2;
+/// Decay of the figures from load reports, as a factor per second: decisions rest on recent attempts.
+constexpr double kReportDecayPerSecond = 0.2;
 
-/// What a second leaves of an endpoint's saturation; slower than the reports, since slowness has to last.
-constexpr double kSaturationDecay = 0.5;
+/// Decay of an endpoint's smoothed saturation, as a factor per second. It is slower than the decay of the
+/// report figures, because slowness has to last before it counts.
+constexpr double kSaturationDecayPerSecond = 0.5;
 
-/// Distance of a failing endpoint's failure ratio above the fleet's overload: where all fail, none is an outlier.
+/// Margin by which the failure ratio of a failing endpoint must exceed the fleet's overload: if all endpoints
+/// fail, none is an outlier.
 constexpr double kOutlierMargin = 0.25;
 
-/// Fraction of the listed weight that may be ejected: if more looks bad, the view is doubted and not the fleet.
+/// Maximum fraction of the listed weight that may be ejected. If more endpoints look unhealthy, the
+/// observations are assumed to be wrong rather than the endpoints.
 constexpr double kMaxEjectedFraction = 0.34;
 
-/// Views of the whole fleet that must lack an endpoint before it counts as silent.
-constexpr double kSilentReports = 3;
+/// Reporting cycles without a report on an endpoint after which it can count as silent. In one cycle, each
+/// zone reports once on each endpoint.
+constexpr double kSilentCycles = 3;
 
-/// Attempts that a silent endpoint's weight made likely meanwhile.
-constexpr double kSilentAttempts = 10;
+/// Attempts that a silent endpoint should have got since its last report, according to its target weight.
+constexpr double kSilentExpectedAttempts = 10;
 
-/// Time that an endpoint stays ejected at least.
+/// Minimum time that an endpoint stays ejected.
 constexpr Micros kMinEjectionTime = 3s;
 
-/// Saturation (fraction of attempts that fail or are late) from which an endpoint counts as slow.
-constexpr double kSlowFraction = 0.4;
+/// Smoothed saturation (fraction of attempts that fail or are late) from which an endpoint can count as slow.
+constexpr double kSlowSaturation = 0.4;
 
-/// Fraction of the fleet's weight that has to be well before a slow endpoint is an outlier.
+/// Fraction of the fleet's weight whose saturation must be below kTargetOverload for a slow endpoint to be an
+/// outlier.
 constexpr double kHealthyQuantile = 0.33;
 
-/// Time after a change of health before an endpoint can count as slow.
+/// Minimum time from an addition to service, a readmission or a weight reduction until an endpoint can count
+/// as slow.
 constexpr Micros kSettleTime = 3s;
 
-/// Mean latency from which some of an endpoint's answers count as late, as a fraction of the latency objective.
+/// Mean latency above which some of an endpoint's answers count as late, as a fraction of the objective.
 constexpr double kLateLatencyStart = 0.4;
 
-/// Mean latency at which all of them do, as a fraction of the latency objective.
+/// Mean latency from which all of an endpoint's answers count as late, as a fraction of the objective.
 constexpr double kLateLatencyEnd = 1.0;
 
-/// The median endpoint by weight stands for the fleet: a few outliers do not move it.
+/// The median endpoint by weight represents the fleet, because a few outliers hardly change the median.
 constexpr double kMedian = 0.5;
 
 constexpr auto kHealthTransitions = [] {
@@ -66,9 +72,9 @@
         {Ejected, MissingFromList, Removed, NoAction},
         {Unlisted, Listed, Healthy, NoAction},
         {Unlisted, ProbeFailed, Removed, NoAction},
-        {Healthy, ReportsBad, Suspect, StartProbing},
-        {Suspect, ReportsBad, Suspect, StartProbing},
-        {Suspect, ReportsGood, Healthy, NoAction},
+        {Healthy, OutlierDetected, Suspect, StartProbing},
+        {Suspect, OutlierDetected, Suspect, StartProbing},
+        {Suspect, NoOutlierDetected, Healthy, NoAction},
         {Suspect, ProbeFailed, Ejected, Eject},
         {Suspect, ProbeSlow, Healthy, ReduceWeight},
         {Ejected, RecoveryConfirmed, Healthy, Readmit},
@@ -79,7 +85,8 @@
 } // namespace
 
 void OutlierDetector::updateEndpoints(bool isComplete, std::span<const EndpointUpdate> entries, Micros now) {
-    // The list can wrongly call running endpoints removed: where that is not binding, a health check decides.
+    // The list can wrongly report running endpoints as removed. A health check decides, unless removals are
+    // binding.
     const HealthEvent removal =
         safety_.removalIsBinding ? HealthEvent::RemovedFromList : HealthEvent::MissingFromList;
     std::vector<char> isListed(endpoints_.size(), 0);
@@ -114,8 +121,8 @@
     reportingZones_.insert(report.proxyZone);
     ++reportCount_;
     attemptCount_ += report.attempts;
-    endpoints_.reportsWhenLastSeen[endpoint] = reportCount_;
-    endpoints_.attemptsWhenLastSeen[endpoint] = attemptCount_;
+    endpoints_.fleetReportsAtLastReport[endpoint] = reportCount_;
+    endpoints_.fleetAttemptsAtLastReport[endpoint] = attemptCount_;
     endpoints_.attempts[endpoint] += report.attempts;
     endpoints_.failures[endpoint] += failures;
     endpoints_.latencySum[endpoint] += successes * seconds(report.meanLatency);
@@ -124,27 +131,28 @@
 }
 
 std::optional<double> OutlierDetector::evaluateReports(double meanLatencyObjective, Micros now) {
-    // Reports come about once an interval: a tenth of it is left for those that come early.
+    // Reports arrive about once per interval: a tenth of it is the tolerance for early reports.
     const Micros minInterval = fleet_.reportInterval * 9 / 10;
     if (!hasNewReports_ || now - evaluatedAt_ < minInterval) return {};
     const Micros sinceEvaluation = evaluatedAt_ > 0us ? now - evaluatedAt_ : 0us;
-    const double span = seconds(std::max(sinceEvaluation, fleet_.reportInterval));
-    fleetLoad_.successRate = std::exchange(successesSinceEvaluation_, 0) / span;
-    fleetLoad_.attemptRate = (attemptCount_ - std::exchange(attemptsAtLastEvaluation_, attemptCount_)) / span;
+    const double elapsedSeconds = seconds(std::max(sinceEvaluation, fleet_.reportInterval));
+    fleetLoad_.successRate = std::exchange(successesSinceEvaluation_, 0) / elapsedSeconds;
+    fleetLoad_.attemptRate =
+        (attemptCount_ - std::exchange(attemptsAtLastEvaluation_, attemptCount_)) / elapsedSeconds;
     hasNewReports_ = false;
     evaluatedAt_ = now;
 
-    FleetSamples samples = collectSamples(meanLatencyObjective, span);
+    FleetSamples samples = collectSamples(meanLatencyObjective, elapsedSeconds);
     fleetLoad_.overload = weightedQuantile(samples.saturation, kMedian);
-    if (fleetLoad_.overload <= kOnsetOverload) fleetLoad_.lastCalmAt = now;
+    if (fleetLoad_.overload <= kOverloadOnsetThreshold) fleetLoad_.lastBelowOnsetAt = now;
     const double congestion = weightedQuantile(samples.congestion, kMedian);
-    const FleetView view{.totalTargetWeight = totalTargetWeight(endpoints_),
-                         .reportsPerView =
-                             static_cast<double>(endpoints_.knownCount() * reportingZones_.size()),
-                         .healthySaturation = weightedQuantile(samples.saturation, kHealthyQuantile)};
-    const double decay = std::pow(kReportDecay, span);
+    const FleetBaseline baseline{.totalTargetWeight = totalTargetWeight(endpoints_),
+                                 .reportsPerCycle =
+                                     static_cast<double>(endpoints_.knownCount() * reportingZones_.size()),
+                                 .healthySaturation = weightedQuantile(samples.saturation, kHealthyQuantile)};
+    const double decay = std::pow(kReportDecayPerSecond, elapsedSeconds);
     for (EndpointIndex endpoint = 0; endpoint < endpoints_.size(); ++endpoint) {
-        if (endpoints_.isInService(endpoint)) evaluateEndpoint(endpoint, view, now);
+        if (endpoints_.isInService(endpoint)) evaluateEndpoint(endpoint, baseline, now);
         endpoints_.attempts[endpoint] *= decay;
         endpoints_.failures[endpoint] *= decay;
         endpoints_.latencySum[endpoint] *= decay;
@@ -153,53 +161,56 @@
     return congestion;
 }
 
-OutlierDetector::FleetSamples OutlierDetector::collectSamples(double meanLatencyObjective, double span) {
+OutlierDetector::FleetSamples OutlierDetector::collectSamples(double meanLatencyObjective,
+                                                              double elapsedSeconds) {
     FleetSamples samples;
     for (EndpointIndex endpoint = 0; endpoint < endpoints_.size(); ++endpoint)
         if (endpoints_.isInService(endpoint) && endpoints_.attempts[endpoint] > 0)
-            addSample(endpoint, meanLatencyObjective, span, samples);
+            addSample(endpoint, meanLatencyObjective, elapsedSeconds, samples);
     return samples;
 }
 
-void OutlierDetector::addSample(EndpointIndex endpoint, double meanLatencyObjective, double span,
+void OutlierDetector::addSample(EndpointIndex endpoint, double meanLatencyObjective, double elapsedSeconds,
                                 FleetSamples& samples) {
     const double attempts = endpoints_.attempts[endpoint];
     const double successes = attempts - endpoints_.failures[endpoint];
-    const double meanLatency =
+    const double relativeLatency =
         successes > 0 ? endpoints_.latencySum[endpoint] / successes / meanLatencyObjective : 1;
     const double lateFraction =
-        std::clamp((meanLatency - kLateLatencyStart) / (kLateLatencyEnd - kLateLatencyStart), 0.0, 1.0);
+        std::clamp((relativeLatency - kLateLatencyStart) / (kLateLatencyEnd - kLateLatencyStart), 0.0, 1.0);
     const double late = successes * lateFraction;
     const double saturation = (endpoints_.failures[endpoint] + late) / attempts;
     double& smoothed = endpoints_.saturation[endpoint];
-    smoothed = saturation + std::pow(kSaturationDecay, span) * (smoothed - saturation);
+    smoothed = saturation + std::pow(kSaturationDecayPerSecond, elapsedSeconds) * (smoothed - saturation);
     const double weight = targetWeight(endpoints_, endpoint);
     samples.saturation.push_back({saturation, weight});
-    // Failures are a sign of congestion only beside slow answers: shedding load cures no lost answers or errors.
-    const double slowness = std::clamp(2 * meanLatency / kLateLatencyStart - 1, 0.0, 1.0);
+    // Failures indicate congestion only if answers are slow as well: load shedding does not help against lost
+    // answers or errors.
+    const double slowness = std::clamp(2 * relativeLatency / kLateLatencyStart - 1, 0.0, 1.0);
     const double congestion = saturation - (1 - slowness) * endpoints_.failureRatio(endpoint);
     samples.congestion.push_back({congestion, weight});
     samples.attempts += attempts;
 }
 
-void OutlierDetector::evaluateEndpoint(EndpointIndex endpoint, const FleetView& view, Micros now) {
+void OutlierDetector::evaluateEndpoint(EndpointIndex endpoint, const FleetBaseline& baseline, Micros now) {
     const bool hasEnoughAttempts = endpoints_.attempts[endpoint] >= kMinAttempts;
-    const bool isOutlier = isSilent(endpoint, view) ||
-                           (hasEnoughAttempts && (isFailing(endpoint) || isSlow(endpoint, view, now)));
+    const bool isOutlier = isSilent(endpoint, baseline) ||
+                           (hasEnoughAttempts && (isFailing(endpoint) || isSlow(endpoint, baseline, now)));
     if (isOutlier)
-        handleEvent(endpoint, HealthEvent::ReportsBad, now);
+        handleEvent(endpoint, HealthEvent::OutlierDetected, now);
     else if (hasEnoughAttempts)
-        handleEvent(endpoint, HealthEvent::ReportsGood, now);
+        handleEvent(endpoint, HealthEvent::NoOutlierDetected, now);
 }
 
-/// Proxies keep away from an endpoint that fails them, so missing reports are a symptom too. A view of the fleet takes
-/// long where reports pile up, so silence is counted in reports and attempts and not in time.
-bool OutlierDetector::isSilent(EndpointIndex endpoint, const FleetView& view) const {
+/// Proxies avoid an endpoint whose attempts fail, so missing reports are a symptom as well. Silence is
+/// measured in reports and attempts, not in time, because a reporting cycle takes long if reports queue up.
+bool OutlierDetector::isSilent(EndpointIndex endpoint, const FleetBaseline& baseline) const {
     if (endpoints_.excluded[endpoint]) return false;
-    const double missedReports = reportCount_ - endpoints_.reportsWhenLastSeen[endpoint];
-    const double missedAttempts = attemptCount_ - endpoints_.attemptsWhenLastSeen[endpoint];
-    return missedReports > kSilentReports * view.reportsPerView &&
-           missedAttempts * targetWeight(endpoints_, endpoint) > kSilentAttempts * view.totalTargetWeight;
+    const double missedReports = reportCount_ - endpoints_.fleetReportsAtLastReport[endpoint];
+    const double missedAttempts = attemptCount_ - endpoints_.fleetAttemptsAtLastReport[endpoint];
+    return missedReports > kSilentCycles * baseline.reportsPerCycle &&
+           missedAttempts * targetWeight(endpoints_, endpoint) >
+               kSilentExpectedAttempts * baseline.totalTargetWeight;
 }
 
 bool OutlierDetector::isFailing(EndpointIndex endpoint) const {
@@ -207,9 +218,10 @@
     return failureRatio >= kOutlierFailureRatio && failureRatio > fleetLoad_.overload + kOutlierMargin;
 }
 
-bool OutlierDetector::isSlow(EndpointIndex endpoint, const FleetView& view, Micros now) const {
-    return endpoints_.saturation[endpoint] >= kSlowFraction && view.healthySaturation < kTargetOverload &&
-           endpoints_.slowStartStep[endpoint] > 1 && now - endpoints_.healthChangedAt[endpoint] > kSettleTime;
+bool OutlierDetector::isSlow(EndpointIndex endpoint, const FleetBaseline& baseline, Micros now) const {
+    return endpoints_.saturation[endpoint] >= kSlowSaturation &&
+           baseline.healthySaturation < kTargetOverload && endpoints_.slowStartStep[endpoint] > 1 &&
+           now - endpoints_.healthChangedAt[endpoint] > kSettleTime;
 }
 
 void OutlierDetector::handleEvent(EndpointIndex endpoint, HealthEvent event, Micros now) {
@@ -245,13 +257,14 @@
         if (step > 1) --step;
         break;
     case HealthAction::AddToService: {
-        // At full weight only if it is warm and no report has come of any endpoint; otherwise step by step.
+        // Full weight only if the endpoint is warm and no load report on any endpoint has arrived yet;
+        // otherwise slow start.
         const bool isStartup = slowStart_.warmUpFraction(endpoint, now) >= 1 && reportCount_ <= 0;
         step = isStartup ? kSlowStartSteps : 1;
         endpoints_.hasReported[endpoint] = 0;
         break;
     }
-    case HealthAction::Readmit: step = 1; break; // if it restarted meanwhile, the endpoint list will say so
+    case HealthAction::Readmit: step = 1; break; // the endpoint list announces a restart during the ejection
     }
     restartObservation(endpoint, now);
 }
@@ -260,13 +273,13 @@
     endpoints_.weightReduced[endpoint] = isReduced ? 1 : 0;
     endpoints_.holdUntil[endpoint] = now + (isReduced ? kMinReducedTime : kMinEjectionTime);
     endpoints_.nextProbeAt[endpoint] = now + kProbeInterval;
-    endpoints_.consecutiveGoodProbes[endpoint] = 0;
+    endpoints_.consecutiveProbeSuccesses[endpoint] = 0;
 }
 
 void OutlierDetector::restartObservation(EndpointIndex endpoint, Micros now) {
     endpoints_.healthChangedAt[endpoint] = now;
-    endpoints_.reportsWhenLastSeen[endpoint] = reportCount_;
-    endpoints_.attemptsWhenLastSeen[endpoint] = attemptCount_;
+    endpoints_.fleetReportsAtLastReport[endpoint] = reportCount_;
+    endpoints_.fleetAttemptsAtLastReport[endpoint] = attemptCount_;
     endpoints_.attempts[endpoint] = 0;
     endpoints_.failures[endpoint] = 0;
     endpoints_.latencySum[endpoint] = 0;
