--- a/src/pubsub/frame.cpp
+++ b/src/pubsub/frame.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Offsets of the header's fields; see the table in frame.h.
+// Offsets of the header fields; see the table in frame.h.
 constexpr std::size_t kLengthOffset = 0;
 constexpr std::size_t kTypeOffset = 4;
 constexpr std::size_t kVersionOffset = 5;
@@ -20,12 +20,12 @@
 constexpr std::size_t kSequenceOffset = 24;
 constexpr std::size_t kSinceOffset = 32;
 
-constexpr std::size_t kLengthFieldBytes = 4; // not counted by the length itself
+constexpr std::size_t kLengthFieldBytes = 4; // the length field does not count itself
 constexpr unsigned kCompressedFlag = 1;
 constexpr unsigned kMoreFlag = 2;
 
-constexpr std::size_t kMinCompressedBodyBytes = 512; // below it the gain does not pay for the CPU time
-constexpr int kCompressionLevel = 1;                 // the fastest: frames are small and sent at once
+constexpr std::size_t kMinCompressedBodyBytes = 512; // smaller bodies gain too little for the CPU time
+constexpr int kCompressionLevel = 1;                 // fastest level: frames are small and sent immediately
 
 template <class Integer>
 void putBigEndian(std::string& buffer, std::size_t offset, Integer value) {
@@ -59,7 +59,8 @@
     return kContext.get();
 }
 
-/// Compresses the body behind the header that `frame` holds. False, and `frame` unchanged, where that saves nothing.
+/// Appends the compressed body to the header in `frame`. Returns false, with `frame` holding the header only,
+/// if compression does not make the body smaller.
 bool appendCompressed(std::string& frame, std::string_view body) {
     frame.resize(kHeaderBytes + ZSTD_compressBound(body.size()));
     const std::size_t size =
@@ -70,7 +71,8 @@
     return isSmaller;
 }
 
-/// The output buffer has exactly the announced size, so that a body which expands further is rejected.
+/// Decompresses into a buffer of exactly the announced size, so that a body that expands beyond it is
+/// rejected.
 bool decompress(std::string_view compressed, std::size_t size, std::string& body) {
     body.resize(size);
     const std::size_t written = ZSTD_decompressDCtx(decompressionContext(), body.data(), body.size(),
@@ -78,7 +80,8 @@
     return !ZSTD_isError(written) && written == size;
 }
 
-/// Decodes the complete frame in `bytes`. Returns a description of the protocol error, if any.
+/// Decodes the complete frame in `bytes`. Returns a description of the protocol error, or std::nullopt if
+/// there is none.
 std::optional<std::string> decodeFrame(std::string_view bytes, Frame& frame) {
     const unsigned flags = getBigEndian<std::uint8_t>(bytes, kFlagsOffset);
     frame.type = static_cast<FrameType>(getBigEndian<std::uint8_t>(bytes, kTypeOffset));
@@ -129,7 +132,8 @@
     }
     std::string_view rest = bytes;
     while (rest.size() >= kLengthFieldBytes) {
-        // An impossible length is rejected from the length field alone, before the rest is waited for.
+        // Rejects an invalid length as soon as the length field is complete, without buffering the rest of
+        // the frame.
         const std::size_t length = getBigEndian<std::uint32_t>(rest, kLengthOffset);
         const std::size_t frameBytes = length + kLengthFieldBytes;
         if (length < kHeaderBytes - kLengthFieldBytes || frameBytes > maxFrameBytes_)
@@ -140,7 +144,7 @@
         rest.remove_prefix(frameBytes);
         if (!handleFrame(frame)) return {};
     }
-    // Equal sizes: `rest` is the whole buffer, which holds those bytes already.
+    // If the sizes are equal, `rest` is the whole buffer and nothing has to be copied.
     if (rest.size() != buffer_.size()) buffer_ = std::string(rest);
     return {};
 }
--- a/src/pubsub/lease_config.h
+++ b/src/pubsub/lease_config.h
@@ -8,13 +8,15 @@
 
 namespace zincstack::pubsub {
 
+/// Intervals and timeouts of a session, and the reconnect rate.
 struct LeaseConfig {
-    Micros heartbeatInterval = std::chrono::seconds(1); ///< how often each side sends a frame at least
-    Micros leaseDuration = std::chrono::seconds(5);     ///< a subscriber silent for so long is disconnected
-    /// A subscriber that acknowledges nothing for so long gets exclusions alone.
+    Micros heartbeatInterval = std::chrono::seconds(1); ///< maximum time between two frames of a side
+    Micros leaseDuration = std::chrono::seconds(5);     ///< silence after which a subscriber is disconnected
+    /// Time without an acknowledgment after which a subscriber gets only exclusions.
     Micros ackTimeout = std::chrono::milliseconds(500);
-    Micros stallTimeout = std::chrono::seconds(20); ///< and for so long: it is disconnected
-    std::uint32_t reconnectsPerSecond = 200; ///< how many disconnected subscribers may return in a second
+    /// Time without an acknowledgment after which a subscriber is disconnected.
+    Micros stallTimeout = std::chrono::seconds(20);
+    std::uint32_t reconnectsPerSecond = 200; ///< rate at which disconnected subscribers may reconnect
 };
 
 } // namespace zincstack::pubsub
--- a/src/pubsub/message_body.cpp
+++ b/src/pubsub/message_body.cpp
@@ -14,27 +14,31 @@
 using json::writeCbor;
 
 constexpr std::size_t kMaxNameBytes = 255;
-constexpr std::size_t kMaxTopics = 64;         // in a Hello or a Beat
-constexpr std::size_t kMaxRequestClasses = 64; // of one table
+constexpr std::size_t kMaxTopics = 64;         // in one Hello or Beat
+constexpr std::size_t kMaxRequestClasses = 64; // served by one table
 constexpr std::size_t kMaxEntriesPerBody = 4 * kMaxEntriesPerPart;
 constexpr std::uint64_t kMaxVersion = 255;
-constexpr std::uint64_t kMaxRetryPolicy = 3; // the last value of RetryPolicy
-constexpr std::uint64_t kMaxMicros = std::uint64_t{1} << 50;
-constexpr int kMaxDepth = 4; // of a body; none is deeper than three
+constexpr std::uint64_t kMaxRetryPolicy = 3; // largest value of RetryPolicy
+constexpr std::uint64_t kMaxDurationMicros = std::uint64_t{1} << 50;
+constexpr int kMaxDepth = 4; // nesting depth of a body; valid bodies have at most three levels
 
+/// Decodes a CBOR map; null if the body is not a map.
 Value decodeMap(std::string_view body) {
     Value out = json::readCbor(body, kMaxDepth);
     if (!out.is_object()) return nullptr;
     return out;
 }
 
-std::optional<std::uint64_t> unsignedOf(const Value& value, std::uint64_t most) {
-    if (!value.is_number_unsigned() || value.get<std::uint64_t>() > most) return {};
+// The functions below convert a value, and return std::nullopt or null if it has the wrong type or is out of
+// range.
+
+std::optional<std::uint64_t> unsignedOf(const Value& value, std::uint64_t maxValue) {
+    if (!value.is_number_unsigned() || value.get<std::uint64_t>() > maxValue) return {};
     return value.get<std::uint64_t>();
 }
 
-std::optional<std::uint32_t> unsigned32Of(const Value& value, std::uint64_t most = UINT32_MAX) {
-    const auto number = unsignedOf(value, most);
+std::optional<std::uint32_t> unsigned32Of(const Value& value, std::uint64_t maxValue = UINT32_MAX) {
+    const auto number = unsignedOf(value, maxValue);
     return number ? std::optional(static_cast<std::uint32_t>(*number)) : std::nullopt;
 }
 
@@ -50,7 +54,7 @@
 }
 
 std::optional<Micros> durationOf(const Value& value) {
-    const auto micros = unsignedOf(value, kMaxMicros);
+    const auto micros = unsignedOf(value, kMaxDurationMicros);
     return micros ? std::optional(Micros(static_cast<std::int64_t>(*micros))) : std::nullopt;
 }
 
@@ -64,13 +68,14 @@
     return number ? std::optional(Sequence{*number}) : std::nullopt;
 }
 
-/// The members that describe a proxy; an observer has none of them. False where they are malformed.
-bool decodeProxy(const Value& all, Hello& hello) {
-    const Value& proxy = member(all, "proxy");
+/// Decodes the members that describe a proxy. Without the member `proxy` the client is an observer, and the
+/// others are ignored. Returns false if a member is missing or malformed.
+bool decodeProxy(const Value& map, Hello& hello) {
+    const Value& proxy = member(map, "proxy");
     if (proxy.is_null()) return true;
     const auto number = unsignedOf(proxy, UINT16_MAX);
-    const auto weight = nonNegativeOf(member(all, "weight"));
-    const auto* fresh = member(all, "fresh").get_ptr<const bool*>();
+    const auto weight = nonNegativeOf(member(map, "weight"));
+    const auto* fresh = member(map, "fresh").get_ptr<const bool*>();
     if (!number || !weight || !fresh) return false;
     hello.proxy = ProxyId{static_cast<std::uint16_t>(*number)};
     hello.weight = *weight;
@@ -92,7 +97,7 @@
     return true;
 }
 
-/// The member of a topic's body that holds entries of a kind, as a map from names to values.
+/// Member of a topic body that holds the entries of one kind, as a map from names to values.
 struct EntryMap {
     const char* member;
     Key::Kind kind;
@@ -101,7 +106,7 @@
     {{"lines", Key::Kind::Weight}, {"levels", Key::Kind::Admission}, {"out", Key::Kind::Exclusion}}};
 
 Value encodeEntryValue(const Entry& entry) {
-    constexpr double kMaxInteger = 1e9; // larger values are written as floating point
+    constexpr double kMaxInteger = 1e9; // larger values are encoded as floating point
     const auto& [key, value] = entry;
     if (key.kind == Key::Kind::Admission) return {value.number, static_cast<int>(value.retryPolicy)};
     if (value.number == std::floor(value.number) && value.number < kMaxInteger)
@@ -160,20 +165,20 @@
 }
 
 std::optional<Hello> decodeHello(std::string_view body) {
-    const Value all = decodeMap(body);
-    const Value& versions = member(all, "versions");
+    const Value map = decodeMap(body);
+    const Value& versions = member(map, "versions");
     if (!versions.is_array() || versions.size() != 2) return {};
     const auto minVersion = unsigned32Of(versions[0], kMaxVersion);
     const auto maxVersion = unsigned32Of(versions[1], kMaxVersion);
-    const auto features = unsigned32Of(member(all, "features"));
-    const auto* zone = nameOf(member(all, "zone"));
+    const auto features = unsigned32Of(member(map, "features"));
+    const auto* zone = nameOf(member(map, "zone"));
     if (!minVersion || !maxVersion || !features || !zone) return {};
     Hello out;
     out.minVersion = *minVersion;
     out.maxVersion = *maxVersion;
     out.features = *features;
     out.zone = *zone;
-    if (!decodeProxy(all, out) || !decodePositions(member(all, "have"), out.positions)) return {};
+    if (!decodeProxy(map, out) || !decodePositions(member(map, "have"), out.positions)) return {};
     return out;
 }
 
@@ -186,12 +191,12 @@
 }
 
 std::optional<Welcome> decodeWelcome(std::string_view body) {
-    const Value all = decodeMap(body);
-    const auto version = unsigned32Of(member(all, "version"), kMaxVersion);
-    const auto features = unsigned32Of(member(all, "features"));
-    const auto heartbeat = durationOf(member(all, "beat_us"));
-    const auto lease = durationOf(member(all, "lease_us"));
-    const auto* planner = nameOf(member(all, "planner"));
+    const Value map = decodeMap(body);
+    const auto version = unsigned32Of(member(map, "version"), kMaxVersion);
+    const auto features = unsigned32Of(member(map, "features"));
+    const auto heartbeat = durationOf(member(map, "beat_us"));
+    const auto lease = durationOf(member(map, "lease_us"));
+    const auto* planner = nameOf(member(map, "planner"));
     if (!version || !features || !heartbeat || !lease || !planner) return {};
     if (*heartbeat <= Micros{} || *lease < *heartbeat) return {};
     return Welcome{*version, *features, *planner, *heartbeat, *lease};
@@ -204,10 +209,10 @@
 }
 
 std::optional<DisconnectNotice> decodeDisconnectNotice(std::string_view body) {
-    const Value all = decodeMap(body);
-    const auto* reason = nameOf(member(all, "reason"));
+    const Value map = decodeMap(body);
+    const auto* reason = nameOf(member(map, "reason"));
     if (!reason) return {};
-    return DisconnectNotice{*reason, durationOf(member(all, "again_us"))};
+    return DisconnectNotice{*reason, durationOf(member(map, "again_us"))};
 }
 
 std::string encode(const DemandRecord& demand) {
@@ -218,11 +223,11 @@
 }
 
 std::optional<DemandRecord> decodeDemandRecord(std::string_view body) {
-    const Value all = decodeMap(body);
-    const auto* requestClass = nameOf(member(all, "product"));
-    const auto requests = unsigned32Of(member(all, "txns"));
-    const auto unanswered = unsigned32Of(member(all, "voided"));
-    const auto interval = durationOf(member(all, "span_us"));
+    const Value map = decodeMap(body);
+    const auto* requestClass = nameOf(member(map, "product"));
+    const auto requests = unsigned32Of(member(map, "txns"));
+    const auto unanswered = unsigned32Of(member(map, "voided"));
+    const auto interval = durationOf(member(map, "span_us"));
     if (!requestClass || !requests || !unanswered || !interval) return {};
     return DemandRecord{*requestClass, *requests, *unanswered, *interval};
 }
@@ -234,8 +239,8 @@
 }
 
 std::optional<TopicHeads> decodeTopicHeads(std::string_view body) {
-    const Value all = decodeMap(body);
-    const Value& list = member(all, "heads");
+    const Value map = decodeMap(body);
+    const Value& list = member(map, "heads");
     if (!list.is_array() || list.size() > kMaxTopics) return {};
     TopicHeads out;
     for (const Value& item : list) {
@@ -259,12 +264,12 @@
 }
 
 std::optional<TopicBody> decodeTopicBody(std::string_view body) {
-    const Value all = decodeMap(body);
-    if (!all.is_object()) return {};
+    const Value map = decodeMap(body);
+    if (!map.is_object()) return {};
     TopicBody out;
-    if (!decodeRequestClasses(member(all, "products"), out.requestClasses)) return {};
+    if (!decodeRequestClasses(member(map, "products"), out.requestClasses)) return {};
     for (const auto& [name, kind] : kEntryMaps)
-        if (!decodeEntries(member(all, name), kind, out.entries)) return {};
+        if (!decodeEntries(member(map, name), kind, out.entries)) return {};
     return out;
 }
 
--- a/src/pubsub/message_body.h
+++ b/src/pubsub/message_body.h
@@ -1,7 +1,7 @@
-// Bodies of the pub-sub channel's frames: one struct per message, encoded as CBOR maps.
+// Bodies of the pub-sub channel's frames: one struct for each kind of body, encoded as a CBOR map.
 //
-// A decode function returns nothing where the bytes are not a valid body of its kind. Map keys that it does not
-// know are ignored, so that later versions can add members. docs/pubsub.md specifies the keys.
+// A decode function returns std::nullopt if the bytes are not a valid body of its kind. It ignores unknown
+// map keys, so that later versions can add members. docs/pubsub.md specifies the keys.
 #pragma once
 
 #include <compare>
@@ -16,9 +16,9 @@
 
 namespace zincstack::pubsub {
 
-inline constexpr std::size_t kMaxEntriesPerPart = 256; ///< of one part of a Snapshot or Changes message
+inline constexpr std::size_t kMaxEntriesPerPart = 256; ///< in one part of a Snapshot or Changes message
 
-/// How far a client is in a topic of one planner incarnation.
+/// A client's position in a topic of one planner incarnation.
 struct TopicPosition {
     TopicId topic;
     Epoch epoch;
@@ -26,38 +26,38 @@
     friend bool operator==(const TopicPosition&, const TopicPosition&) = default;
 };
 
-/// Opens a session: who the client is and which state it holds already.
+/// Body of Hello, which opens a session: the client's identity and the state that it already holds.
 struct Hello {
     std::uint32_t minVersion = kProtocolVersion;
     std::uint32_t maxVersion = kProtocolVersion;
     std::uint32_t features = kFeatureCompression;
-    std::optional<ProxyId> proxy; ///< none: an observer, which is no proxy
+    std::optional<ProxyId> proxy; ///< std::nullopt for an observer, which is not a proxy
     std::string zone;
-    double weight = 0;               ///< approximate requests per second
-    bool onlyBootstrapTable = false; ///< it holds no table that a planner assigned (`fresh` on the wire)
+    double weight = 0;               ///< approximate request rate of the proxy, per second
+    bool onlyBootstrapTable = false; ///< has no table assigned by a planner yet (`fresh` on the wire)
     std::vector<TopicPosition> positions;
 };
 
-/// Accepts a session and states its terms.
+/// Body of Welcome, which accepts a session: its protocol version, features and timing.
 struct Welcome {
     std::uint32_t version = kProtocolVersion;
     std::uint32_t features = 0;
     std::string planner;
-    Micros heartbeatInterval{}; ///< either side sends a frame at least this often
-    Micros leaseDuration{};     ///< a side that is silent for so long is considered gone
+    Micros heartbeatInterval{}; ///< maximum time between two frames of either side
+    Micros leaseDuration{};     ///< silence after which a side is considered disconnected
 };
 
-/// Ends a session: the body of Bye and Refused.
+/// Body of Bye and Refused, which end a session.
 struct DisconnectNotice {
     std::string reason;
-    std::optional<Micros> retryAfter; ///< when to reconnect; none: unknown, or never
+    std::optional<Micros> retryAfter; ///< delay before reconnecting; std::nullopt if unknown or never
 };
 
-/// The body of Usage: what a client sent of one request class during an interval.
+/// Body of Usage: how many requests of one request class a client sent during an interval.
 struct DemandRecord {
     std::string requestClass;
     std::uint32_t requests = 0;
-    std::uint32_t unanswered = 0;
+    std::uint32_t unanswered = 0; ///< of these, the requests without an answer
     Micros interval{};
 };
 
@@ -68,12 +68,12 @@
     friend auto operator<=>(const TopicHead&, const TopicHead&) = default;
 };
 
-/// The body of a planner's Beat.
+/// Body of a Beat that the planner sends.
 using TopicHeads = std::vector<TopicHead>;
 
-/// The body of a part of Snapshot and Changes.
+/// Body of one part of a Snapshot or Changes message.
 struct TopicBody {
-    std::vector<std::string> requestClasses; ///< of a snapshot's first part: which classes the table serves
+    std::vector<std::string> requestClasses; ///< served by the table; only in a snapshot's first part
     std::vector<Entry> entries;
 };
 
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -1,4 +1,4 @@
-// Frames of the pub-sub channel: cutting a byte stream, and rejecting what is no frame.
+// Tests of the pub-sub channel's framing: splitting a byte stream into frames and rejecting invalid input.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -14,7 +14,7 @@
 using tests::frameOf;
 using tests::weightEntry;
 
-RC_GTEST_PROP(Frame, FramesAreTheSameHoweverTheStreamIsCut, ()) {
+RC_GTEST_PROP(Frame, DecodesSameFramesForAnyFragmentationOfStream, ()) {
     std::string stream;
     std::vector<std::string> expected;
     std::vector<std::string> received;
@@ -36,7 +36,8 @@
     RC_ASSERT(reader.bufferedBytes() == 0U);
 }
 
-RC_GTEST_PROP(Frame, AnyBytesAreRejectedOrReadAndAtMostOneFrameIsBuffered, ()) {
+// Corrupted or random bytes must neither crash the decoders nor grow the buffer beyond one frame.
+RC_GTEST_PROP(Frame, HandlesCorruptedBytesAndBuffersAtMostOneFrame, ()) {
     const TopicBody body{{"lookup"}, {weightEntry(1, 2), weightEntry(2, .5)}};
     auto bytes = encodeFrame(frameOf(FrameType::Snapshot, encode(body)), true);
     for (int k = *rc::gen::inRange(0, 6); k > 0; --k)
@@ -55,7 +56,9 @@
     RC_ASSERT(reader.bufferedBytes() <= kMaxClientFrameBytes);
 }
 
-TEST(Frame, ImpossibleLengthsAndDecompressionBombsAreRejectedBeforeAnythingGrows) {
+// A peer that announces an invalid length, or a body that expands beyond its announced size, must not make
+// the reader allocate memory.
+TEST(Frame, RejectsInvalidLengthsAndDecompressionBombsWithoutBuffering) {
     const auto faultOf = [](std::string bytes) {
         FrameReader reader(kMaxClientFrameBytes);
         const auto fault = reader.feed(bytes, [](Frame&) { return true; });
@@ -67,13 +70,13 @@
     EXPECT_NE(faultOf(std::string("\0\0\0\1", 4)).find("a frame of 1 "), std::string::npos);
     EXPECT_EQ(faultOf(std::string("\0\0\0", 3)), "");
     const std::string zeros(kMaxBodyBytes, '\0');
-    // A few bytes that decompress to the largest body allowed.
+    // Less than 1000 bytes that decompress to the largest allowed body.
     std::string bomb = encodeFrame(frameOf(FrameType::Hello, zeros), true);
     EXPECT_LT(bomb.size(), 1000U);
     EXPECT_EQ(faultOf(bomb), "");
-    bomb[12] = '\x7f'; // announces more than is allowed
+    bomb[12] = '\x7f'; // announces a body larger than allowed
     EXPECT_NE(faultOf(bomb).find("a body of"), std::string::npos);
-    bomb[12] = 0; // announces less than it decompresses to
+    bomb[12] = 0; // announces a body smaller than its decompressed size
     bomb[13] = 0;
     bomb[14] = 1;
     EXPECT_NE(faultOf(bomb).find("can't be unpacked"), std::string::npos);
--- a/tests/message_body_test.cpp
+++ b/tests/message_body_test.cpp
@@ -1,4 +1,4 @@
-// Bodies of the pub-sub channel's frames: encoding and decoding, and rejecting what is no valid body.
+// Tests of the bodies of the pub-sub channel's frames: encoding, decoding and rejection of invalid input.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -19,7 +19,7 @@
     return bytes;
 }
 
-TEST(MessageBody, DecodedBodiesEqualTheEncodedOnes) {
+TEST(MessageBody, RoundTripsThroughEncoding) {
     Hello hello;
     hello.proxy = ProxyId{17};
     hello.zone = "a";
@@ -46,7 +46,9 @@
     EXPECT_EQ(decodeDemandRecord(encode(DemandRecord{"order", 5, 1, 1s}))->requests, 5U);
 }
 
-TEST(MessageBody, InvalidBodiesAreRejected) {
+// Values of a wrong type or out of range, deep nesting and huge announced sizes must not reach the planner or
+// exhaust its memory. Unknown keys are accepted for compatibility with later versions.
+TEST(MessageBody, RejectsInvalidBodiesAndIgnoresUnknownKeys) {
     using nlohmann::json;
     const json hello{{"versions", {1, 1}}, {"features", 0}, {"zone", "a"}};
     EXPECT_TRUE(decodeHello(cborOf(hello)));
@@ -71,8 +73,8 @@
         EXPECT_FALSE(decodeTopicBody(cborOf(invalid))) << invalid;
     const json withUnknownKey{{"later", {1, 2}}, {"lines", {{"s", 1}}}};
     EXPECT_TRUE(decodeTopicBody(cborOf(withUnknownKey)));
-    EXPECT_FALSE(decodeTopicBody(std::string(100'000, '\x81'))); // as deep as it is long
-    EXPECT_FALSE(decodeTopicBody(std::string(9, '\xbb')));       // a map that exceeds any memory
+    EXPECT_FALSE(decodeTopicBody(std::string(100'000, '\x81'))); // 100,000 nested arrays
+    EXPECT_FALSE(decodeTopicBody(std::string(9, '\xbb')));       // a map with 13 quintillion entries
     EXPECT_FALSE(decodeTopicBody(std::string("\x9b\xff\xff\xff\xff\xff\xff\xff\xff", 9)));
 }
 
--- a/tests/pubsub_entries.h
+++ b/tests/pubsub_entries.h
@@ -1,4 +1,4 @@
-// Entries and frames of the pub-sub channel, in short form for tests.
+// Builders of pub-sub entries and frames for tests.
 #pragma once
 
 #include <map>
@@ -13,11 +13,12 @@
 
 using Weights = std::map<std::string, double>;
 
-/// The weight of the endpoint with that number; 0 removes it.
+/// Returns the entry that sets the weight of endpoint `s-<number>`; weight 0 removes the endpoint.
 inline pubsub::Entry weightEntry(int number, double weight) {
     return {{pubsub::Key::Kind::Weight, "s-" + std::to_string(number)}, {weight, {}}};
 }
 
+/// Applies weight entries to a map of weights by endpoint name.
 inline void applyTo(Weights& weights, const std::vector<pubsub::Entry>& entries) {
     for (const auto& [key, value] : entries)
         if (value.number > 0)
@@ -26,7 +27,7 @@
             weights.erase(key.name);
 }
 
-/// A frame whose header fields all have a value of their own.
+/// Returns a frame with different values in the topic, epoch, sequence and since fields.
 inline pubsub::Frame frameOf(pubsub::FrameType type, std::string body = {}) {
     pubsub::Frame frame{type};
     frame.topic = {3};
