--- a/src/pubsub/message_cache.cpp
+++ b/src/pubsub/message_cache.cpp
@@ -10,12 +10,13 @@
 
 using net::Counter;
 
-constexpr std::size_t kTargetPartBytes = std::size_t{24} * 1024; // of an uncompressed body, estimated
-constexpr std::size_t kEntryOverheadBytes = 12;                  // of an entry beside its name, estimated
-constexpr std::size_t kMaxCachedChanges = 64;    // messages of a topic for one head, by their first sequence
-constexpr std::size_t kSnapshotReuseDivisor = 8; // a snapshot serves until an eighth of its topic has changed
+constexpr std::size_t kTargetPartBytes = std::size_t{24} * 1024; // estimated size of the uncompressed body
+constexpr std::size_t kEntryOverheadBytes = 12;  // estimated size of an entry besides its name
+constexpr std::size_t kMaxCachedChanges = 64;    // Changes messages of one topic for its current head
+constexpr std::size_t kSnapshotReuseDivisor = 8; // reuse a snapshot until 1/8 of the topic has changed
 
-/// The entries of the next part, from `next` on; `next` moves past them. At least one entry if any is left.
+/// Returns the entries of the next part, starting at index `next`, and advances `next` past them. The part
+/// has at least one entry if any is left.
 std::vector<Entry> takePart(const std::vector<Entry>& entries, std::size_t& next) {
     std::vector<Entry> part;
     std::size_t bytes = 0;
@@ -61,7 +62,7 @@
     const TopicLog& log = topics_.log(snapshot.topic);
     if (!log.covers(snapshot.head) || snapshot.head < notBefore) return false;
     const std::size_t tooManyChanges = log.size() / kSnapshotReuseDivisor + 1;
-    return log.changedSince(snapshot.head, tooManyChanges) < tooManyChanges;
+    return log.countChangedSince(snapshot.head, tooManyChanges) < tooManyChanges;
 }
 
 SharedMessage MessageCache::encodeChanges(TopicId topic, Sequence since, bool compressed) {
--- a/src/pubsub/message_sender.cpp
+++ b/src/pubsub/message_sender.cpp
@@ -9,7 +9,7 @@
 
 using net::Counter;
 
-constexpr std::size_t kMinSnapshotChanges = 64; // fewer changes are never replaced by a snapshot
+constexpr std::size_t kMaxChangesWithoutSnapshot = 64; // more changes may be replaced by a snapshot
 
 } // namespace
 
@@ -25,7 +25,7 @@
         const auto found = std::ranges::find_if(
             subscriber.topics, [&](const auto& topic) { return isDue(topic.first, topic.second); });
         if (found == subscriber.topics.end()) {
-            const bool followsTable = subscriber.topics.size() > 1; // not the exclusions alone
+            const bool followsTable = subscriber.topics.size() > 1; // more than the exclusions topic
             if (followsTable) transition(subscriber, SessionInput::CaughtUp);
             return;
         }
@@ -54,8 +54,8 @@
 bool MessageSender::needsSnapshot(TopicId topic, const TopicProgress& progress) const {
     const TopicLog& log = topics_.log(topic);
     if (progress.needsSnapshot || !log.covers(progress.sent)) return true;
-    const std::size_t tooManyChanges = std::max(log.size() / 2, kMinSnapshotChanges) + 1;
-    return log.changedSince(progress.sent, tooManyChanges) == tooManyChanges;
+    const std::size_t tooManyChanges = std::max(log.size() / 2, kMaxChangesWithoutSnapshot) + 1;
+    return log.countChangedSince(progress.sent, tooManyChanges) == tooManyChanges;
 }
 
 MessageSender::PartResult MessageSender::sendNextPart(Subscriber& subscriber, TopicProgress& progress,
--- a/src/pubsub/message_sender.h
+++ b/src/pubsub/message_sender.h
@@ -1,8 +1,9 @@
-// Sends subscribers what their topics hold, as far as flow control has capacity for it.
+// Sends the contents of their topics to subscribers, as far as flow control has capacity for it.
 //
-// Order of sending for one subscriber: exclusions go before everything else, also between the parts of a longer
-// message; then the topics that it follows, each by the changes since its position, or by a snapshot where the log no
-// longer covers that position or most of the topic has changed.
+// Order of sending for one subscriber: exclusions are sent first, even between the parts of a longer message.
+// The other topics that the subscriber follows come next. Each topic is sent as the changes since the
+// subscriber's position, or as a snapshot if the log no longer covers that position or more than half of the
+// topic has changed.
 #pragma once
 
 #include <functional>
@@ -21,28 +22,34 @@
 using Clock = std::function<Micros()>;
 using Subscribers = std::map<SubscriberId, std::unique_ptr<Subscriber>>;
 
+/// Decides which message each subscriber gets next, and sends it.
 class MessageSender {
 public:
-    /// References must outlive the sender. `subscribers`: of whom some may wait for capacity.
+    /// The references must outlive the sender. `subscribers` is used to find the subscribers that wait for
+    /// capacity.
     MessageSender(const TopicStore& topics, MessageCache& messages, FlowControl& flowControl,
                   const Subscribers& subscribers, const routing::RoutingState& routingState,
                   net::Counters& counters, Clock clock);
 
-    /// Sends what is due and fits. A subscriber that needs capacity of the total window is queued for it.
+    /// Sends the pending messages that fit into the windows. If the total window is full, the subscriber is
+    /// queued for capacity.
     void sendDue(Subscriber& subscriber) { sendDue(subscriber, false); }
-    /// Serves subscribers that wait for capacity, in their order, while there is some.
+    /// Sends to the subscribers that wait for capacity, in their order, until capacity runs out.
     void serveWaiters();
 
 private:
     enum class PartResult : std::uint8_t { Sent, Blocked };
 
     void sendDue(Subscriber& subscriber, bool wasWaiting);
+    /// Returns whether some message of the topic is pending for the subscriber.
     bool isDue(TopicId topic, const TopicProgress& progress) const;
     SharedMessage nextMessage(Subscriber& subscriber, TopicId topic, const TopicProgress& progress);
     bool needsSnapshot(TopicId topic, const TopicProgress& progress) const;
+    /// Sends the next part of the message. `wasWaiting` puts the subscriber back at the front of the queue if
+    /// capacity is still missing.
     PartResult sendNextPart(Subscriber& subscriber, TopicProgress& progress, const SharedMessage& message,
                             bool wasWaiting);
-    /// Applies one of the inputs whose effect is counted and no more.
+    /// Applies an input whose only effect is to increment a counter.
     void transition(Subscriber& subscriber, SessionInput input);
 
     const TopicStore& topics_;
--- a/src/pubsub/topic_log.cpp
+++ b/src/pubsub/topic_log.cpp
@@ -23,8 +23,9 @@
     return true;
 }
 
-/// Bounds memory where endpoints come and go forever. A reader from before the dropped tombstone would never learn of
-/// the removal, so the floor rises past it.
+/// Bounds memory use in a fleet whose endpoints are added and removed continuously. A reader at a sequence
+/// before the dropped tombstone would never learn of the removal, so the floor is raised to the tombstone's
+/// sequence.
 void TopicLog::dropOldestTombstone() {
     const auto oldest = std::ranges::find_if(byChange_, [](const auto& change) {
         const auto& [key, versioned] = *change.second;
@@ -45,9 +46,9 @@
     return out;
 }
 
-std::size_t TopicLog::changedSince(Sequence from, std::size_t most) const {
+std::size_t TopicLog::countChangedSince(Sequence from, std::size_t limit) const {
     std::size_t count = 0;
-    for (auto change = byChange_.upper_bound(from); change != byChange_.end() && count < most; ++change)
+    for (auto change = byChange_.upper_bound(from); change != byChange_.end() && count < limit; ++change)
         ++count;
     return count;
 }
--- a/src/pubsub/topic_log.h
+++ b/src/pubsub/topic_log.h
@@ -1,9 +1,11 @@
-// The entries of one topic and when each of them changed last. No I/O, no clock.
+// Log of one topic: its entries, and the sequence number at which each of them last changed. It performs no
+// I/O and reads no clock.
 //
-// A topic is a map from keys to values. Each change takes the next sequence number, and only the newest change of a
-// key is kept: a reader at any older sequence is brought up to date by the keys that changed since. Unsent changes of
-// one endpoint therefore coalesce, and no reader needs a queue of its own. A removed key leaves a tombstone; the
-// number of tombstones is bounded, and a reader from before the oldest one needs a snapshot.
+// A topic is a map from keys to values. Each change takes the next sequence number, and only the newest
+// change of a key is kept. The keys that changed since an older sequence bring a reader at that sequence up
+// to date. Unsent changes of one endpoint therefore coalesce, and readers need no queues of their own. A
+// removed key leaves a tombstone. The number of tombstones is bounded, and a reader at a sequence before the
+// last dropped tombstone needs a snapshot.
 #pragma once
 
 #include <compare>
@@ -17,54 +19,62 @@
 
 namespace zincstack::pubsub {
 
-using Epoch = Id<struct EpochTag, std::uint64_t>; ///< a planner incarnation; greater is later on one machine
-using Sequence = Id<struct SequenceTag, std::uint64_t>; ///< of a topic's changes within an epoch; from 1
-using TopicId = Id<struct TopicTag, std::uint16_t>; ///< 0: excluded endpoints; else the table's number + 1
+using Epoch = Id<struct EpochTag, std::uint64_t>;       ///< planner incarnation; increases on one machine
+using Sequence = Id<struct SequenceTag, std::uint64_t>; ///< number of a change in a topic and epoch, from 1
+using TopicId = Id<struct TopicTag, std::uint16_t>;     ///< 0 for the excluded endpoints, else table ID + 1
 
 inline constexpr TopicId kExclusionsTopic{0};
-/// The topic of a table, and the table of a topic other than `kExclusionsTopic`.
+/// Returns the topic of a table.
 inline TopicId topicOf(TableId table) { return {static_cast<std::uint16_t>(table.value + 1)}; }
+/// Returns the table of a topic other than `kExclusionsTopic`.
 inline TableId tableOf(TopicId topic) { return {static_cast<std::uint16_t>(topic.value - 1)}; }
 
+/// Key of an entry: what the entry describes.
 struct Key {
     enum class Kind : std::uint8_t { Weight, Admission, Exclusion };
     Kind kind = Kind::Weight;
-    std::string name; ///< of an endpoint; for Admission, of a request class
+    std::string name; ///< of a request class for Admission, otherwise of an endpoint
     friend auto operator<=>(const Key&, const Key&) = default;
 };
 
+/// Value of an entry.
 struct EntryValue {
-    /// Weight: 0 removes the endpoint. Admission: a fraction or a rate. Exclusion: 1 excluded, 0 readmitted.
+    /// Weight: the endpoint's weight, 0 if it was removed. Admission: a fraction or a rate. Exclusion: 1 if
+    /// excluded, 0 if readmitted.
     double number = 0;
-    RetryPolicy retryPolicy = RetryPolicy::Never; ///< of Admission
+    RetryPolicy retryPolicy = RetryPolicy::Never; ///< used for Admission only
     friend bool operator==(const EntryValue&, const EntryValue&) = default;
 };
 
+/// One key of a topic with its value.
 struct Entry {
     Key key;
     EntryValue value;
     friend bool operator==(const Entry&, const Entry&) = default;
 };
 
-/// The state of one topic, with its tombstones.
+/// State of one topic, including its tombstones.
 class TopicLog {
 public:
-    /// `maxTombstones`: how many removed keys are remembered.
+    /// `maxTombstones` is the number of removed keys that are remembered.
     explicit TopicLog(std::size_t maxTombstones) : maxTombstones_(maxTombstones) {}
 
-    /// False, and no new sequence, where the entry has that value already.
+    /// Sets the entry under the next sequence number. Returns false, without a new sequence, if the entry
+    /// already has that value.
     bool put(const Entry& entry);
 
+    /// Sequence of the newest change.
     Sequence head() const { return head_; }
-    /// Whether a reader that has everything up to `from` can be brought up to date by changes alone.
+    /// Returns whether changes alone, without a snapshot, can bring a reader at sequence `from` up to date.
     bool covers(Sequence from) const { return from >= floor_ && from <= head_; }
-    /// The keys that changed after `from`, with their current values (0: removed), oldest change first. Only where
-    /// `covers(from)`.
+    /// Returns the keys that changed after `from`, with their current values (0 if removed), oldest change
+    /// first. Requires `covers(from)`.
     std::vector<Entry> since(Sequence from) const;
-    /// How many keys changed after `from`, counted up to `most`.
-    std::size_t changedSince(Sequence from, std::size_t most) const;
-    /// All entries that are not removed, by key.
+    /// Counts the keys that changed after `from`, and stops at `limit`.
+    std::size_t countChangedSince(Sequence from, std::size_t limit) const;
+    /// Returns all entries that are not removed, ordered by key.
     std::vector<Entry> snapshot() const;
+    /// Number of entries without tombstones.
     std::size_t size() const { return entries_.size() - tombstones_; }
     std::size_t tombstones() const { return tombstones_; }
 
@@ -75,18 +85,19 @@
     };
     using Entries = std::map<Key, VersionedValue>;
 
-    /// An admission limit of 0 is a value: it admits nothing. A weight or an exclusion of 0 is a removed entry.
+    /// A weight or an exclusion of 0 is a removed entry. An admission limit of 0 is a regular value that
+    /// admits nothing.
     static bool isRemoved(const Key& key, const EntryValue& value) {
         return key.kind != Key::Kind::Admission && value.number <= 0;
     }
     void dropOldestTombstone();
 
     const std::size_t maxTombstones_;
-    Entries entries_; // tombstones included
-    std::map<Sequence, Entries::iterator> byChange_;
+    Entries entries_;                                // including tombstones
+    std::map<Sequence, Entries::iterator> byChange_; // by the sequence of the last change
     std::size_t tombstones_ = 0;
     Sequence head_{0};
-    Sequence floor_{0}; // readers from before it need a snapshot
+    Sequence floor_{0}; // oldest covered sequence; readers before it need a snapshot
 };
 
 } // namespace zincstack::pubsub
--- a/src/pubsub/topic_store.h
+++ b/src/pubsub/topic_store.h
@@ -1,5 +1,5 @@
-// The pub-sub channel's topics: one for the excluded endpoints and one for each routing table. Owns their logs and
-// fills them from the planner's routing state. No I/O, no clock.
+// Topics of the pub-sub channel: one for the excluded endpoints and one for each routing table. TopicStore
+// owns their logs and fills them from the planner's routing state. It performs no I/O and reads no clock.
 #pragma once
 
 #include <map>
@@ -10,30 +10,36 @@
 
 namespace zincstack::pubsub {
 
+/// Owns the logs of all topics.
 class TopicStore {
 public:
-    /// Starts with a topic for the excluded endpoints and for each table that exists. `maxTombstones`: of each topic.
+    /// Creates the topic of the excluded endpoints and a topic for each existing table. `maxTombstones`
+    /// applies to each topic.
     TopicStore(const routing::RoutingState& routingState, const net::NameRegistry& names,
                std::size_t maxTombstones);
 
-    /// Creates the table's topic where there is none. The table may exist already: its weights and admission limits
-    /// are then in the topic at once.
+    /// Creates the table's topic if it does not exist. If the routing state already has the table, the new
+    /// topic starts with the table's weights and admission limits.
     void ensureTopic(TableId table);
 
     void setWeight(TableId table, EndpointId endpoint, double weight);
     void setExcluded(EndpointId endpoint, bool excluded);
-    /// Removes the endpoint from every topic, so that another endpoint may get its name without being excluded.
+    /// Removes the endpoint from every topic, so that another endpoint can be given the same name without
+    /// being excluded.
     void forgetEndpoint(EndpointId endpoint);
-    /// Takes over the effective admission limits of the request classes that the table is known to serve.
+    /// Copies the effective admission limits of those of the request classes that the table is known to
+    /// serve.
     void updateAdmission(TableId table, RequestClassSet requestClasses);
 
-    /// The log of a topic that exists.
+    /// Returns the log of a topic; the topic must exist.
     const TopicLog& log(TopicId topic) const { return logs_.at(topic); }
-    /// The log of a topic; null where there is none.
+    /// Returns the log of a topic; null if the topic does not exist.
     const TopicLog* find(TopicId topic) const;
+    /// Returns the head of every topic.
     std::map<TopicId, Sequence> heads() const;
 
 private:
+    /// Returns the log of the table's topic, which is created if it does not exist.
     TopicLog& logOf(TableId table);
 
     const routing::RoutingState& routingState_;
--- a/tests/topic_log_test.cpp
+++ b/tests/topic_log_test.cpp
@@ -1,4 +1,4 @@
-// The log of a topic: positions that changes cover, coalescing, tombstones.
+// Tests of a topic's log: covered positions, coalescing and tombstones.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -14,7 +14,9 @@
 using tests::weightEntry;
 using tests::Weights;
 
-RC_GTEST_PROP(TopicLog, AReaderAtAnyCoveredPositionIsBroughtUpToDateByCoalescedChanges, ()) {
+// A reader must not miss a change or a removal because newer changes of the same key replaced it or its
+// tombstone was dropped.
+RC_GTEST_PROP(TopicLog, CoalescedChangesBringReaderAtAnyCoveredPositionUpToDate, ()) {
     constexpr std::size_t kMaxTombstones = 3;
     struct State {
         Sequence head;
@@ -35,28 +37,29 @@
         if (!log.covers(head)) continue;
         const auto since = log.since(head);
         std::set<std::string> names;
-        for (const auto& entry : since) RC_ASSERT(names.insert(entry.key.name).second); // each once
+        for (const auto& entry : since) RC_ASSERT(names.insert(entry.key.name).second); // no key occurs twice
         applyTo(weights, since);
         RC_ASSERT(weights == current);
-        RC_ASSERT(log.changedSince(head, 100) == since.size());
+        RC_ASSERT(log.countChangedSince(head, 100) == since.size());
     }
     Weights fromSnapshot;
     applyTo(fromSnapshot, log.snapshot());
     RC_ASSERT(fromSnapshot == current);
 }
 
-TEST(TopicLog, UnchangedValuesTakeNoSequenceAndADroppedTombstoneRaisesTheFloor) {
+TEST(TopicLog, UnchangedValuesTakeNoSequenceAndDroppedTombstoneRaisesFloor) {
     TopicLog log(1);
     EXPECT_TRUE(log.put(weightEntry(1, 2)));
     EXPECT_FALSE(log.put(weightEntry(1, 2)));
     EXPECT_FALSE(log.put(weightEntry(9, 0)));
-    EXPECT_TRUE(log.put({{Key::Kind::Admission, "lookup"}, {0, {}}})); // admits nothing, and is a value
+    // An admission limit of 0 is not a removal.
+    EXPECT_TRUE(log.put({{Key::Kind::Admission, "lookup"}, {0, {}}}));
     EXPECT_EQ(log.head(), Sequence{2});
     EXPECT_EQ(log.size(), 2U);
     log.put(weightEntry(2, 1));
     log.put(weightEntry(1, 0));
     EXPECT_TRUE(log.covers({1}));
-    log.put(weightEntry(2, 0)); // a second tombstone: the first is dropped
+    log.put(weightEntry(2, 0)); // the second tombstone replaces the first
     EXPECT_FALSE(log.covers({1}));
     EXPECT_FALSE(log.covers({3}));
     EXPECT_TRUE(log.covers({4}));
