--- a/src/pubsub/replica.cpp
+++ b/src/pubsub/replica.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxTopicEntries = std::size_t{64} * 1024; // of a message in all its parts
+constexpr std::size_t kMaxTopicEntries = std::size_t{64} * 1024; // in all parts of one message
 
 } // namespace
 
@@ -21,9 +21,9 @@
     return type == frame.type && sequence == frame.sequence && since == frame.since && nextPart == frame.part;
 }
 
-/// A snapshot that was encoded before changes which have been applied already is older than the replica, and must not
-/// undo them. Changes since an older position hold the newest value of each key, so more than what is missing does
-/// no harm; less does.
+/// A snapshot at or before the replica's position must not undo changes that have already been applied.
+/// Changes since an older position than the replica's contain the newest value of each key, so applying more
+/// than the missing ones is harmless. Changes since a newer position leave a gap.
 std::optional<Replica::Outcome> Replica::checkPosition(const Frame& frame) const {
     const auto position = at(frame.topic);
     const bool isSnapshot = frame.type == FrameType::Snapshot;
@@ -49,7 +49,6 @@
     return Outcome::Applied;
 }
 
-/// Applied: the message is complete, and can be applied.
 Replica::Outcome Replica::addPart(const Frame& frame, TopicBody& body) {
     const auto found = incomplete_.find(frame.topic);
     if (found == incomplete_.end()) return Outcome::Gap;
@@ -69,16 +68,16 @@
 }
 
 void Replica::applyMessage(const Frame& lastPart, const TopicBody& body, Micros now) {
-    if (lastPart.type == FrameType::Snapshot) beginSnapshot(lastPart.topic, body, now);
+    if (lastPart.type == FrameType::Snapshot) clearReplacedState(lastPart.topic, body, now);
     for (const Entry& entry : body.entries) applyEntry(lastPart.topic, entry, now);
     positions_[lastPart.topic] = {epoch_, lastPart.sequence};
 }
 
-/// Clears what the snapshot replaces.
-void Replica::beginSnapshot(TopicId topic, const TopicBody& body, Micros now) {
+/// Exclusions that only an earlier planner announced are kept until their hold time has expired.
+void Replica::clearReplacedState(TopicId topic, const TopicBody& body, Micros now) {
     if (topic == kExclusionsTopic) {
         std::erase_if(exclusions_, [&](const auto& item) {
-            return !isForeign(item.second) || isExpired(item.second, now);
+            return !isUnconfirmed(item.second) || isExpired(item.second, now);
         });
         return;
     }
@@ -86,7 +85,7 @@
     dropReplacedTables(topic, body.requestClasses);
 }
 
-/// A table of an earlier planner goes once all its request classes are served by a complete table of this one.
+/// Removes the tables of earlier planners whose request classes are all served by the complete new table.
 void Replica::dropReplacedTables(TopicId current, const std::vector<std::string>& requestClasses) {
     const auto isServed = [&](const std::string& requestClass) {
         return std::ranges::find(requestClasses, requestClass) != requestClasses.end();
@@ -123,7 +122,7 @@
     std::vector<TopicId> behind;
     for (const auto& [topic, head] : heads)
         if (const auto position = at(topic); !position || *position < head) behind.push_back(topic);
-    if (behind.empty()) currentAt_ = now;
+    if (behind.empty()) lastUpToDateAt_ = now;
     return behind;
 }
 
@@ -163,10 +162,10 @@
         const auto found = exclusions_.find(endpoint);
         if (found == exclusions_.end() || isExpired(found->second, now))
             eligible.push_back({endpoint, weight});
-        else if (isForeign(found->second))
+        else if (isUnconfirmed(found->second))
             excludedByEarlierPlanner.push_back({endpoint, weight});
     }
-    // An exclusion that this planner does not confirm must not leave a client without any endpoint.
+    // Exclusions that the session's planner has not confirmed must not leave a client without any endpoint.
     return eligible.empty() ? excludedByEarlierPlanner : eligible;
 }
 
--- a/tests/replica_test.cpp
+++ b/tests/replica_test.cpp
@@ -1,4 +1,4 @@
-// A client's replica: gaps, duplicates, reordering, and the change from one planner to another.
+// Tests of a client's replica: gaps, duplicates, reordering, and the switch from one planner to another.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -19,7 +19,8 @@
 
 constexpr TopicId kTopic{1};
 
-/// A topic's log, and its frames on the way to a replica: a test delivers, repeats, reorders and loses them.
+/// A topic's log and replica, connected by an unreliable channel: the test delivers, repeats, reorders and
+/// drops frames.
 class LossyTopic {
 public:
     LossyTopic() { replica_.sessionAccepted(kEpoch); }
@@ -34,7 +35,7 @@
         if (position && log_.covers(*position)) send(FrameType::Changes, *position, log_.since(*position));
     }
     void sendSnapshot() { send(FrameType::Snapshot, {}, log_.snapshot()); }
-    /// Delivers a frame, which may be delivered again.
+    /// Delivers a frame and keeps it in transit, so that it can be delivered again.
     void deliver(std::size_t which) {
         const auto before = replica_.at(kTopic);
         replica_.apply(inTransit_[which], 1s);
@@ -42,12 +43,12 @@
         RC_ASSERT((!before || (after && *after >= *before)));
         if (after && states_.contains(*after)) RC_ASSERT(replicaWeights() == states_.at(*after));
     }
-    void loseOldest() {
+    void dropOldest() {
         if (!inTransit_.empty()) inTransit_.erase(inTransit_.begin());
     }
-    void loseAll() { inTransit_.clear(); }
+    void dropAll() { inTransit_.clear(); }
     std::size_t inTransit() const { return inTransit_.size(); }
-    void expectEqual() const {
+    void expectReplicaEqualsLog() const {
         RC_ASSERT(replica_.at(kTopic) == log_.head());
         RC_ASSERT(replicaWeights() == weights_);
     }
@@ -84,7 +85,9 @@
     std::map<Sequence, Weights> states_{{log_.head(), {}}};
 };
 
-RC_GTEST_PROP(Replica, WhateverIsLostRepeatedOrReorderedItNeverGoesBackAndEndsEqualToTheLog, ()) {
+// Lost, repeated or reordered frames must neither move the replica to an older sequence nor leave it in a
+// state that the log never had. A final snapshot makes it equal to the log.
+RC_GTEST_PROP(Replica, NeverRegressesAndConvergesToLogOverLossyChannel, ()) {
     LossyTopic topic;
     for (int steps = *rc::gen::inRange(0, 60); steps > 0; --steps) {
         switch (*rc::gen::inRange(0, 6)) {
@@ -100,16 +103,18 @@
         case 4:
             if (topic.inTransit() > 0) topic.deliver(*rc::gen::inRange<std::size_t>(0, topic.inTransit()));
             break;
-        case 5: topic.loseOldest(); break;
+        case 5: topic.dropOldest(); break;
         }
     }
-    topic.loseAll();
+    topic.dropAll();
     topic.sendSnapshot();
     for (std::size_t k = 0; k < topic.inTransit(); ++k) topic.deliver(k);
-    topic.expectEqual();
+    topic.expectReplicaEqualsLog();
 }
 
-TEST(Replica, AnotherPlannersTableReplacesTheOldOneOnlyOnceCompleteAndExclusionsAreHeldForAWhile) {
+// After a planner switch, a client must not route by a half-received table, nor send requests to an endpoint
+// that drains because the new planner does not know of the drain yet.
+TEST(Replica, KeepsOldTableUntilNewOneIsCompleteAndHoldsUnconfirmedExclusions) {
     Replica replica(10s);
     const auto frame = [](Epoch epoch, TopicId topic, std::vector<Entry> entries, bool more = false,
                           std::uint16_t part = 0) {
@@ -129,16 +134,16 @@
     EXPECT_EQ(replica.apply(frame({1}, {1}, {weightEntry(1, 1), weightEntry(2, 1)}), 1s), Outcome::Applied);
     EXPECT_EQ(replica.eligibleEndpoints(*replica.tableOf("lookup"), 1s).size(), 1U);
 
-    replica.sessionAccepted({2}); // has not heard of the drain yet
+    replica.sessionAccepted({2}); // does not know of the drain yet
     EXPECT_EQ(replica.apply(frame({1}, {1}, {weightEntry(3, 1)}), 2s), Outcome::OtherEpoch);
     EXPECT_EQ(replica.apply(frame({2}, {0}, {}), 2s), Outcome::Applied);
     EXPECT_EQ(replica.apply(frame({2}, {1}, {weightEntry(1, 1)}, true), 2s), Outcome::PartReceived);
     EXPECT_EQ(replica.tableOf("lookup")->weights.size(), 2U); // not complete yet
     EXPECT_EQ(replica.apply(frame({2}, {1}, {weightEntry(2, 1)}, false, 1), 2s), Outcome::Applied);
     EXPECT_TRUE(replica.isExcluded("s-1", 2s));
-    EXPECT_FALSE(replica.isExcluded("s-1", 12s)); // not confirmed in time
+    EXPECT_FALSE(replica.isExcluded("s-1", 12s)); // not confirmed within the hold time of 10 s
     EXPECT_EQ(replica.apply(frame({2}, {1}, {weightEntry(1, 1)}), 2s), Outcome::Duplicate); // same sequence
-    // Where only such an endpoint is left, it may be used.
+    // If all endpoints of a table have unconfirmed exclusions, they may be used.
     replica.sessionAccepted({3});
     EXPECT_EQ(replica.apply(frame({3}, {1}, {weightEntry(1, 1)}), 2s), Outcome::Applied);
     EXPECT_EQ(replica.eligibleEndpoints(*replica.tableOf("lookup"), 3s).size(), 1U);
