--- a/src/pubsub/flow_control.cpp
+++ b/src/pubsub/flow_control.cpp
@@ -8,9 +8,11 @@
 
 namespace {
 
-// Fractions of the queue by priority: exclusions and snapshots as the planner's own, changes in between.
+// Fraction of the queue that each priority may fill: exclusions and snapshots use the planner's fractions for
+// urgent and ordinary messages, changes a value between them.
 constexpr double kQueueFraction[kPriorityCount] = {kDeadlineQueueFraction, 0.75, kOrdinaryQueueFraction};
-// An exclusion may use the subscriber's window twice: it is sent beside what a slow reader has not read yet.
+// Multiple of the subscriber's window and of `maxTotalBytes` that each priority may fill. Exclusions may fill
+// twice the window, so that they are sent even while a slow reader has a full window of unread data.
 constexpr std::size_t kWindowFactor[kPriorityCount] = {2, 1, 1};
 
 std::size_t indexOf(MessagePriority priority) { return static_cast<std::size_t>(priority); }
@@ -27,18 +29,18 @@
 }
 
 bool FlowControl::fitsTotalWindow(MessagePriority priority, const MessageSize& size,
-                                  std::size_t linesElsewhere) const {
+                                  std::size_t otherTransportLines) const {
     const std::size_t maxBytes = kWindowFactor[indexOf(priority)] * limits_.maxTotalBytes;
     if (total_.bytes + size.bytes > maxBytes && total_.bytes > 0) return false;
     const double maxLines = kQueueFraction[indexOf(priority)] * limits_.maxQueuedLines;
-    const std::size_t queuedLines = total_.lines + linesElsewhere;
+    const std::size_t queuedLines = total_.lines + otherTransportLines;
     return static_cast<double>(queuedLines + size.lines) <= maxLines || queuedLines == 0;
 }
 
 FlowControl::Decision FlowControl::check(MessagePriority priority, const MessageSize& size,
-                                         const Window& window, std::size_t linesElsewhere) const {
+                                         const Window& window, std::size_t otherTransportLines) const {
     if (!fitsSubscriberWindow(priority, size, window)) return Decision::SubscriberWindowFull;
-    if (!fitsTotalWindow(priority, size, linesElsewhere)) return Decision::TotalWindowFull;
+    if (!fitsTotalWindow(priority, size, otherTransportLines)) return Decision::TotalWindowFull;
     return Decision::Send;
 }
 
@@ -84,7 +86,7 @@
     return count;
 }
 
-Micros RetryAfterPlanner::nextRetryAfter(Micros now) {
+Micros RetryAfterScheduler::nextRetryAfter(Micros now) {
     nextSlot_ = std::max(nextSlot_ + interval_, now);
     return baseDelay_ + (nextSlot_ - now);
 }
--- a/src/pubsub/session_frames.cpp
+++ b/src/pubsub/session_frames.cpp
@@ -1,4 +1,4 @@
-// SubscriptionServer's handlers of the frames that clients send.
+// SubscriptionServer's handlers of client frames.
 #include <chrono>
 #include <string>
 
@@ -10,7 +10,8 @@
 
 using net::Counter;
 
-constexpr std::uint32_t kMaxRequests = 10'000'000; // in one demand record
+// Limits of one demand record.
+constexpr std::uint32_t kMaxDemandRequests = 10'000'000;
 constexpr Micros kMaxDemandInterval = std::chrono::minutes(10);
 
 } // namespace
@@ -32,9 +33,9 @@
     case FrameType::Applied: return handleApplied(subscriber, frame);
     case FrameType::Ask: return handleAsk(subscriber, frame);
     case FrameType::Usage: return handleUsage(subscriber, frame);
-    case FrameType::Beat: return true; // it has renewed the lease
+    case FrameType::Beat: return true; // every received frame renews the lease
     case FrameType::Bye: return transition(subscriber, SessionInput::Disconnected);
-    default: counters_.add(Counter::FramesSkipped); return true; // of a later version of the protocol
+    default: counters_.add(Counter::FramesSkipped); return true; // frame type of a later protocol version
     }
 }
 
@@ -98,7 +99,7 @@
         return subscriber.acknowledge(frame.topic, frame.sequence, flowControl_, clock_());
     };
     if (!isKnown()) {
-        counters_.recordIgnored(Counter::BadMark, "an answer to what was not sent");
+        counters_.recordIgnored(Counter::BadMark, "acknowledgment of a message that was not sent");
         return true;
     }
     reportAcknowledgedBarrier(subscriber);
@@ -110,11 +111,12 @@
 bool SubscriptionServer::handleAsk(Subscriber& subscriber, const Frame& frame) {
     const auto found = subscriber.topics.find(frame.topic);
     if (found == subscriber.topics.end()) {
-        counters_.recordIgnored(Counter::BadField, "a snapshot of a topic that it does not hold");
+        counters_.recordIgnored(Counter::BadField,
+                                "snapshot request for a topic that the subscriber does not follow");
         return true;
     }
     found->second.needsSnapshot = true;
-    found->second.discardMessageInProgress(); // a partly sent message is of no use to the client
+    found->second.discardMessageInProgress(); // the client cannot use a partly sent message any more
     sender_.sendDue(subscriber);
     return true;
 }
@@ -126,8 +128,8 @@
         counters_.recordIgnored(Counter::BadName, "usage");
         return true;
     }
-    const bool isValid = demand && subscriber.proxy && demand->requests <= kMaxRequests &&
-                         demand->unanswered <= kMaxRequests && demand->interval <= kMaxDemandInterval;
+    const bool isValid = demand && subscriber.proxy && demand->requests <= kMaxDemandRequests &&
+                         demand->unanswered <= kMaxDemandRequests && demand->interval <= kMaxDemandInterval;
     if (!isValid) {
         counters_.recordIgnored(Counter::BadField, "usage");
         return true;
--- a/src/pubsub/subscriber.cpp
+++ b/src/pubsub/subscriber.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxPendingBarriers = 1024; // of one subscriber; older ones are dropped
+constexpr std::size_t kMaxPendingBarriers = 1024; // per subscriber; the oldest ones are dropped
 
 struct Transition {
     SessionState state;
@@ -20,7 +20,7 @@
 using Input = SessionInput;
 using Effect = SessionEffect;
 
-// The first row that matches applies; an input without a row changes nothing.
+// The first matching row applies. An input that matches no row is ignored.
 constexpr Transition kTransitions[] = {
     {Leaving, Input::Any, Leaving, Effect::Nothing},
     {Greeting, Input::GreetingAccepted, CatchingUp, Effect::SendWelcome},
--- a/src/pubsub/subscriber.h
+++ b/src/pubsub/subscriber.h
@@ -1,5 +1,6 @@
-// One subscriber as the planner sees it: the state of its session, its position in each topic, what it has not
-// acknowledged, and which barriers wait for that. State and decisions only; SubscriptionServer carries out effects.
+// The planner's state of one subscriber: the state of its session, its position in each topic, its
+// unacknowledged messages, and the barriers that wait for their acknowledgment. Subscriber only keeps state
+// and decides; SubscriptionServer carries out the effects.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,7 @@
 
 using SharedFrame = std::shared_ptr<const std::string>;
 
-/// Where a subscriber's frames go: its connection, as far as the server knows it.
+/// Destination of a subscriber's frames. Abstracts its connection for the server.
 class FrameTarget {
 public:
     FrameTarget() = default;
@@ -28,51 +29,57 @@
     FrameTarget& operator=(const FrameTarget&) = delete;
     FrameTarget& operator=(FrameTarget&&) = delete;
     virtual ~FrameTarget() = default;
-    /// Queues a complete frame; false if too much is queued already.
+    /// Queues a complete frame. Returns false if too many bytes are queued already.
     virtual bool push(const SharedFrame& frame) = 0;
-    /// Ends the session. `farewell` is sent if the reader takes it at once.
-    virtual void close(std::string farewell) = 0;
+    /// Ends the session. `finalFrame`, which may be empty, is sent only if the write queue is empty and as
+    /// far as the socket accepts it without waiting.
+    virtual void close(std::string finalFrame) = 0;
 };
 
+/// State of a subscriber's session.
 enum class SessionState : std::uint8_t {
-    Greeting,   ///< no valid Hello yet
-    CatchingUp, ///< its first tables are being sent
+    Greeting,   ///< no valid Hello received yet
+    CatchingUp, ///< the initial tables are being sent
     Live,       ///< everything has been sent
-    Lagging,    ///< changes wait for its window
-    Resync,     ///< changes no longer cover its position: a snapshot is being sent
-    Leaving,    ///< ended; the connection still exists
-    Any,        ///< in the transition table alone
+    Lagging,    ///< changes wait because the subscriber's window is full
+    Resync,  ///< a snapshot is being sent: the log no longer covers the position, or the client asked for it
+    Leaving, ///< the session has ended, but the connection still exists
+    Any,     ///< wildcard, used in the transition table only
 };
 
+/// Input of the session's state machine.
 enum class SessionInput : std::uint8_t {
     GreetingAccepted,
     GreetingRejected,
-    CaughtUp,         ///< everything that its topics hold has been sent
-    WindowFull,       ///< something is due and its window is full
-    LogTruncated,     ///< the log no longer covers its position, or it asked for a snapshot
-    AckTimeout,       ///< it has acknowledged nothing for too long
-    LeaseExpired,     ///< it has sent nothing for too long
-    SessionReplaced,  ///< its proxy has a newer session
+    CaughtUp,         ///< all contents of the subscriber's topics have been sent
+    WindowFull,       ///< a message is pending and the subscriber's window is full
+    LogTruncated,     ///< the log no longer covers the position, or the subscriber requested a snapshot
+    AckTimeout,       ///< no acknowledgment within `LeaseConfig::stallTimeout`
+    LeaseExpired,     ///< no frame received within `LeaseConfig::leaseDuration`
+    SessionReplaced,  ///< the proxy has a newer session
     ServiceSuspended, ///< the channel is switched off
-    ProtocolError,    ///< it sent something that is not valid
-    Disconnected,     ///< it said goodbye, or its connection has ended
-    Any,              ///< in the transition table alone
+    ProtocolError,    ///< the subscriber sent invalid data
+    Disconnected,     ///< the subscriber sent Bye, or its connection has ended
+    Any,              ///< wildcard, used in the transition table only
 };
 
+/// Action that the server takes after a transition.
 enum class SessionEffect : std::uint8_t {
     Nothing,
     SendWelcome,
-    SendRefusal,
+    SendRefusal, ///< sends Refused and ends the session
     CountLag,
     CountResync,
-    SendGoodbye,
-    Close,
+    SendGoodbye, ///< sends Bye and ends the session
+    Close,       ///< ends the session without a final frame
 };
 
+/// Returns the name of a state other than Any.
 std::string_view nameOf(SessionState state);
 
-/// A message of a topic, encoded once for all subscribers that get it.
+/// Message of a topic, encoded once for all subscribers that receive it.
 struct EncodedMessage {
+    /// One frame of the message.
     struct Part {
         SharedFrame frame;
         std::size_t lines = 0;
@@ -80,7 +87,7 @@
         MessageSize size() const { return {lines, frame->size()}; }
     };
     TopicId topic;
-    Sequence head; ///< the topic's state after the message
+    Sequence head; ///< sequence that a subscriber has reached after the message
     MessagePriority priority = MessagePriority::Change;
     std::vector<Part> parts;
 };
@@ -88,54 +95,62 @@
 
 /// A subscriber's progress in a topic that it follows.
 struct TopicProgress {
-    Sequence sent{};
-    Sequence acknowledged{};
+    Sequence sent{};                      ///< up to which messages have been sent completely
+    Sequence acknowledged{};              ///< up to which the subscriber has acknowledged the topic
     Sequence barrier{};                   ///< the topic's head at the newest barrier
-    bool needsSnapshot = false;           ///< a snapshot is due
-    bool wasSent = false;                 ///< some message of the topic was sent completely in this session
-    SharedMessage messageInProgress = {}; ///< partly sent
-    std::size_t nextPart = 0;             ///< of `messageInProgress`
+    bool needsSnapshot = false;           ///< the next message has to be a snapshot
+    bool wasSent = false;                 ///< a message of the topic was sent completely in this session
+    SharedMessage messageInProgress = {}; ///< partly sent message, if any
+    std::size_t nextPart = 0;             ///< index of the next part of `messageInProgress`
 
     void discardMessageInProgress();
 };
 
+/// State of one subscriber's session on the planner's side.
 class Subscriber {
 public:
     Subscriber(SubscriberId sessionId, FrameTarget& frameTarget, Micros now)
         : id(sessionId), target(&frameTarget), lastReceivedAt(now), lastProgressAt(now) {}
 
-    /// Applies an input to the state; returns what has to be done. Nothing: the input does not matter in this state.
+    /// Applies an input to the session's state and returns the action to take. An input without a transition
+    /// in the current state is ignored and returns Nothing.
     SessionEffect transition(SessionInput input);
     SessionState state() const { return state_; }
-    /// Whether the session has been accepted and has not ended.
+    /// Returns whether the session has been accepted and has not ended.
     bool isEstablished() const { return state_ != SessionState::Greeting && state_ != SessionState::Leaving; }
 
+    /// Records a part that was handed to the session, and charges its size to flow control.
     void onPartSent(const EncodedMessage& message, std::size_t part, FlowControl& flowControl, Micros now);
-    /// Everything of the topic up to the sequence is applied. An acknowledgment covers what was sent of its topic
-    /// before it; it says nothing of other topics, since exclusions overtake. False where no such message was sent.
+    /// Records that the subscriber has applied the topic up to the sequence. This acknowledges all earlier
+    /// messages of the same topic, but none of other topics, because exclusions overtake other messages.
+    /// Returns false if no such message was sent.
     bool acknowledge(TopicId topic, Sequence sequence, FlowControl& flowControl, Micros now);
-    /// A part of the message with that sequence was received. False where no such message was sent.
+    /// Records that the subscriber has received a part of the message with that sequence. Returns false if no
+    /// such message was sent.
     bool acknowledgePart(TopicId topic, Sequence sequence, std::uint16_t part, FlowControl& flowControl,
                          Micros now);
-    /// Records a barrier behind what is in the topics now. `heads`: of every topic that exists.
+    /// Adds a barrier after the current contents of the subscriber's topics. `heads` contains the head of
+    /// every topic.
     void addBarrier(BarrierId barrier, const std::map<TopicId, Sequence>& heads);
-    /// The newest barrier of which everything is acknowledged; returned once.
+    /// Removes the barriers whose preceding messages are all acknowledged. Returns the newest of them, or
+    /// std::nullopt if there is none.
     std::optional<BarrierId> takeAcknowledgedBarrier();
-    /// Gives back the flow-control credit of everything unacknowledged.
+    /// Returns the flow-control credit of all unacknowledged parts.
     void releaseCredit(FlowControl& flowControl);
     bool hasUnacknowledged() const { return !unacknowledged_.empty(); }
 
     const SubscriberId id;
     FrameTarget* const target;
-    std::optional<ProxyId> proxy;
+    std::optional<ProxyId> proxy; ///< std::nullopt for an observer, and once the proxy's session has ended
     ZoneId zone;
     bool acceptsCompression = false;
-    std::map<TopicId, TopicProgress> topics; ///< exclusions first
+    std::map<TopicId, TopicProgress> topics; ///< followed topics; the exclusions topic comes first
     Window window;
     Micros lastReceivedAt{};
-    Micros lastProgressAt{};           ///< when it last acknowledged something, or had nothing to acknowledge
-    bool isWaitingForCapacity = false; ///< queued in FlowControl
-    std::vector<TopicPosition> resumePositions; ///< from its Hello
+    /// Time of the last acknowledgment, or of the first part sent since nothing was unacknowledged.
+    Micros lastProgressAt{};
+    bool isWaitingForCapacity = false;          ///< queued in FlowControl
+    std::vector<TopicPosition> resumePositions; ///< positions from the client's Hello
 
 private:
     struct UnacknowledgedPart {
@@ -144,10 +159,12 @@
         std::uint16_t part = 0;
         MessageSize size;
     };
+    /// Barrier with the topic heads that have to be acknowledged first.
     struct PendingBarrier {
         BarrierId barrier;
         std::map<TopicId, Sequence> heads;
     };
+    /// Removes the unacknowledged parts for which `isCovered` is true, and returns their flow-control credit.
     template <class Covered>
     void removeUnacknowledged(const Covered& isCovered, FlowControl& flowControl, Micros now);
     bool isAcknowledged(const PendingBarrier& pending) const;
--- a/src/pubsub/subscriber_session.cpp
+++ b/src/pubsub/subscriber_session.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+/// Passes received bytes to the server as frames, and the server's frames to the connection.
 class SubscriberSession final : public net::PeerProtocol, FrameTarget {
 public:
     SubscriberSession(SubscriptionServer& server, net::Connection& connection)
@@ -30,20 +31,21 @@
     void connectionClosed() override {
         if (subscriber_) server_.sessionClosed(*std::exchange(subscriber_, nullptr));
     }
-    std::string_view farewell() const override { return farewell_; }
+    std::string_view farewell() const override { return finalFrame_; }
 
 private:
     bool push(const SharedFrame& frame) override { return connection_.push(frame); }
-    void close(std::string farewell) override {
-        farewell_ = std::move(farewell);
-        connection_.end("the channel let it go");
+    void close(std::string finalFrame) override {
+        finalFrame_ = std::move(finalFrame);
+        connection_.end("session ended by the subscription server");
     }
 
     SubscriptionServer& server_;
     net::Connection& connection_;
     FrameReader reader_{kMaxClientFrameBytes};
-    Subscriber* subscriber_; // null once it has ended: a pending write keeps the connection alive for longer
-    std::string farewell_;
+    // Null once the connection is closed: a pending write can keep this session alive for longer.
+    Subscriber* subscriber_;
+    std::string finalFrame_; // sent before the connection is closed; may be empty
 };
 
 } // namespace
--- a/src/pubsub/subscriber_session.h
+++ b/src/pubsub/subscriber_session.h
@@ -1,4 +1,5 @@
-// Connects a network connection with a subscriber of the server. A thin adapter without decisions of its own.
+// Adapter between a network connection and a subscriber of the SubscriptionServer. It contains no protocol
+// logic.
 #pragma once
 
 #include <memory>
@@ -8,10 +9,11 @@
 
 namespace zincstack::pubsub {
 
-/// Bytes queued for one slow reader; the server's flow-control windows are smaller.
+/// Limit of the write queue of one connection. The flow-control window of a subscriber is smaller.
 inline constexpr std::size_t kMaxQueuedBytes = std::size_t{256} * 1024;
 
-/// The session of a connection that was accepted on the channel's address. Both arguments must outlive it.
+/// Creates the session of a connection that was accepted on the channel's listen address. Both arguments must
+/// outlive the session.
 std::unique_ptr<net::PeerProtocol> makeSubscriberSession(SubscriptionServer& server,
                                                          net::Connection& connection);
 
--- a/src/pubsub/subscription_server.cpp
+++ b/src/pubsub/subscription_server.cpp
@@ -9,7 +9,7 @@
 
 using net::Counter;
 
-constexpr std::size_t kMaxReasonBytes = 200; // so that a disconnect notice fits into one small frame
+constexpr std::size_t kMaxReasonBytes = 200; // keeps the frame of a disconnect notice small
 
 } // namespace
 
@@ -36,7 +36,7 @@
     return static_cast<std::size_t>(std::ranges::count_if(subscribers_, isInState));
 }
 
-// ---- orders of the planner --------------------------------------------------------------------------------
+// ---- updates from the planner -----------------------------------------------------------------------------
 
 void SubscriptionServer::weightChanged(TableId table, EndpointId endpoint, double weight) {
     hasPendingChanges_ = true;
@@ -71,7 +71,8 @@
     hasPendingChanges_ = true;
 }
 
-/// A position of this very epoch is brought up to date by the changes since; anything else starts with a snapshot.
+/// A position of the current epoch that the log covers is resumed with changes. Otherwise the topic starts
+/// with a snapshot.
 void SubscriptionServer::follow(Subscriber& subscriber, TopicId topic) {
     const auto [place, isNew] = subscriber.topics.try_emplace(topic);
     if (!isNew) return;
@@ -107,10 +108,11 @@
         Subscriber& subscriber = *subscribers_.at(id);
         const bool hasChanges = hasChangesSinceBarrier(subscriber, heads);
         if (!hasChanges && !everyProxy) continue;
-        // Without changes the exclusions are sent once more, so that there is something to acknowledge.
+        // Without changes, the exclusions topic is sent again, so that the subscriber has a message to
+        // acknowledge.
         if (!hasChanges) subscriber.topics.at(kExclusionsTopic).wasSent = false;
         subscriber.addBarrier(barrier, heads);
-        // 0 lines: they are charged to this server's own flow control when they are sent.
+        // 0 lines, because this server's own flow control is charged when the message is sent.
         routingState_.messageWritten(proxy, barrier, 0);
     }
     hasPendingChanges_ = true;
@@ -143,7 +145,7 @@
 void SubscriptionServer::sessionClosed(Subscriber& subscriber) {
     transition(subscriber, SessionInput::Disconnected);
     observers_.erase(subscriber.id);
-    subscribers_.erase(SubscriberId(subscriber.id)); // a copy: the id goes with the subscriber
+    subscribers_.erase(SubscriberId(subscriber.id)); // a copy: the ID is destroyed with the subscriber
     sender_.serveWaiters();
 }
 
@@ -152,8 +154,8 @@
     counters_.checkInvariant(found != proxySessions_.end());
     if (found == proxySessions_.end()) return;
     Subscriber& replaced = *subscribers_.at(found->second);
-    replaced.proxy
-        .reset(); // the proxy has a newer session, so the end of this one does not mean that it left
+    // The proxy has a newer session, so the end of this session must not be reported as the proxy leaving.
+    replaced.proxy.reset();
     proxySessions_.erase(found);
     transition(replaced, SessionInput::SessionReplaced, "a newer stream of this proxy is up");
 }
@@ -193,7 +195,7 @@
     subscriber.target->close(*encodeServerFrame(type, encode(notice)));
 }
 
-/// The subscriber itself stays until its connection ends.
+/// The Subscriber object is kept until its connection has closed.
 void SubscriptionServer::releaseSession(Subscriber& subscriber) {
     subscriber.releaseCredit(flowControl_);
     for (auto& [topic, progress] : subscriber.topics) progress.discardMessageInProgress();
@@ -209,7 +211,7 @@
     Frame frame{type};
     frame.epoch = config_.epoch;
     frame.body = std::move(body);
-    const bool mayCompress = false; // such bodies are small
+    const bool mayCompress = false; // the bodies of these frames are small
     return std::make_shared<const std::string>(encodeFrame(frame, mayCompress));
 }
 
@@ -250,7 +252,6 @@
     return true;
 }
 
-/// `encoded`: one frame for all subscribers that follow the same topics.
 void SubscriptionServer::sendHeartbeat(Subscriber& subscriber, HeartbeatCache& encoded) const {
     TopicHeads heads;
     for (const auto& [topic, progress] : subscriber.topics)
--- a/src/pubsub/subscription_server.h
+++ b/src/pubsub/subscription_server.h
@@ -1,7 +1,9 @@
-// The planner's side of the pub-sub channel: accepts sessions, handles their frames, turns the planner's orders into
-// topics and sends them, and supervises leases. Knows no socket; the clock is handed in.
+// Planner side of the pub-sub channel: accepts sessions, handles their frames, writes the planner's updates
+// to topics, sends the topics to subscribers, and monitors leases. It uses no sockets; the caller passes the
+// clock.
 //
-// Owns the subscribers, the topics (TopicStore) and the channel's flow control; MessageSender decides what is sent.
+// SubscriptionServer owns the subscribers, the topics (TopicStore) and the channel's flow control.
+// MessageSender decides what is sent.
 #pragma once
 
 #include <cstdint>
@@ -24,22 +26,24 @@
 
 namespace zincstack::pubsub {
 
-/// What a server tells its clients of itself, and the limits that it keeps.
+/// Identity, limits and timing of a server.
 struct ServerConfig {
     std::string plannerName;
-    Epoch epoch; ///< of this planner incarnation; never used before
-    std::uint32_t proxyCount = 0;
+    Epoch epoch;                  ///< of this planner incarnation; must never have been used before
+    std::uint32_t proxyCount = 0; ///< proxy IDs must be less than this
     FlowControlLimits flowControl;
     LeaseConfig leases;
-    std::size_t maxTombstones = 0; ///< removed entries that each topic remembers
+    std::size_t maxTombstones = 0; ///< removed entries remembered for each topic
 };
 
+/// Server of the pub-sub channel, and a transport of the routing state's updates.
 class SubscriptionServer final : public routing::UpdateTransport {
 public:
-    /// Opens a batch of inputs to the planner, or returns the one that is open (BatchRunner::openBatch).
+    /// Opens a batch of planner inputs, or continues the batch that is open (see BatchRunner::openBatch).
     using OpenBatch = std::function<Planner&()>;
 
-    /// Registers itself as a transport of the routing state until it is destroyed. References must outlive it.
+    /// Registers the server as a transport of the routing state until it is destroyed. The references must
+    /// outlive the server.
     SubscriptionServer(routing::RoutingState& routingState, const net::NameRegistry& names,
                        net::Counters& counters, ServerConfig config, OpenBatch openBatch, Clock clock);
     ~SubscriptionServer() override;
@@ -49,23 +53,26 @@
     SubscriptionServer& operator=(SubscriptionServer&&) = delete;
 
     // -- sessions --
-    /// A connection was opened. The subscriber is owned by the server and valid until `sessionClosed`.
+    /// Creates the subscriber of a new connection. The server owns it; it is valid until `sessionClosed`.
     Subscriber& sessionOpened(FrameTarget& target);
-    /// False: the session has ended, and nothing more may be read from its connection.
+    /// Handles a received frame. Returns false if the session has ended and nothing more may be read from its
+    /// connection.
     bool handleFrame(Subscriber& subscriber, const Frame& frame);
-    /// The connection carried something that is no valid frame.
+    /// Ends a session whose connection violated the protocol.
     void protocolError(Subscriber& subscriber, const std::string& fault);
+    /// Removes the subscriber of a connection that was closed.
     void sessionClosed(Subscriber& subscriber);
-    /// Sends heartbeats and supervises leases and acknowledgments. To be called `kTicksPerHeartbeat` times in a
-    /// heartbeat interval; each call serves its share of the subscribers.
+    /// Checks the acknowledgment timeouts of all subscribers, and sends the heartbeats and checks the leases
+    /// of one of `kTicksPerHeartbeat` groups of them. Has to be called `kTicksPerHeartbeat` times per
+    /// heartbeat interval.
     void tick();
     static constexpr std::uint32_t kTicksPerHeartbeat = 10;
-    /// The channel is switched off: every subscriber is disconnected with a Retry-After. Topics are kept up to date, so
-    /// that subscribers that return after `resume` need only what changed.
+    /// Disconnects every subscriber with a Retry-After and refuses new sessions until `resume`. The topics
+    /// are kept up to date, so that subscribers that reconnect after `resume` need only the changes.
     void suspend();
     void resume() { isSuspended_ = false; }
 
-    // -- orders of the planner --
+    // -- updates from the planner --
     void weightChanged(TableId table, EndpointId endpoint, double weight) override;
     void tableAssigned(ProxyId proxy, TableId table) override;
     void exclusionChanged(EndpointId endpoint, bool excluded) override;
@@ -80,39 +87,47 @@
     std::size_t subscriberCount() const { return subscribers_.size(); }
     std::size_t countInState(SessionState state) const;
     const FlowControl& flowControl() const { return flowControl_; }
-    /// The log of a topic; null where there is none.
+    /// Returns the log of a topic; null if the topic does not exist.
     const TopicLog* log(TopicId topic) const { return topics_.find(topic); }
     Epoch epoch() const { return config_.epoch; }
 
 private:
-    // One handler for each frame type; false: the session has ended.
+    // Frame handlers. They return false if the session has ended.
     bool dispatch(Subscriber& subscriber, const Frame& frame);
     bool handleHello(Subscriber& subscriber, const Frame& frame);
     bool handleApplied(Subscriber& subscriber, const Frame& frame);
     bool handleAsk(Subscriber& subscriber, const Frame& frame);
     bool handleUsage(Subscriber& subscriber, const Frame& frame);
-    /// Why a greeting is refused; empty: it is accepted.
+    /// Returns why a Hello is refused; empty if it is accepted.
     std::string reasonForRefusal(const Hello& hello) const;
     void joinAsProxy(Subscriber& subscriber, const Hello& hello);
     void joinAsObserver(Subscriber& subscriber);
 
-    /// Starts to send the topic, from the position that the subscriber holds of it.
+    /// Subscribes to the topic, from the position that the client announced in its Hello.
     void follow(Subscriber& subscriber, TopicId topic);
+    /// Subscribes to the tables of the subscriber's zone.
     void followZone(Subscriber& subscriber);
     void reportAcknowledgedBarrier(Subscriber& subscriber);
-    /// Whether something changed for the subscriber since its last barrier.
+    /// Returns whether a topic of the subscriber has changed since its last barrier, or has not been sent
+    /// yet.
     bool hasChangesSinceBarrier(const Subscriber& subscriber, const std::map<TopicId, Sequence>& heads) const;
 
-    /// False: the session has ended.
+    /// Applies an input and carries out its effect. `reason` is sent to the client if the session ends with a
+    /// final frame. Returns false if the session has ended.
     bool transition(Subscriber& subscriber, SessionInput input, std::string_view reason = {});
+    /// Ends the session with a final Bye or Refused frame.
     void disconnect(Subscriber& subscriber, FrameType type, std::string_view reason, bool withRetryAfter);
-    /// Releases what the session holds: its proxy has left, and nothing unacknowledged is waited for.
+    /// Releases the session's flow-control credit, and reports to the planner that its proxy has left.
     void releaseSession(Subscriber& subscriber);
     SharedFrame encodeServerFrame(FrameType type, std::string body) const;
 
+    /// Encoded heartbeats of one tick, shared by subscribers that follow the same topics.
     using HeartbeatCache = std::map<TopicHeads, SharedFrame>;
+    /// Restricts the subscriber to exclusions if it has acknowledged nothing within the acknowledgment
+    /// timeout.
     void checkAckTimeout(Subscriber& subscriber, Micros now);
-    /// False: the session has ended.
+    /// Ends the session if its lease has expired or it has acknowledged nothing within the stall timeout.
+    /// Returns false if the session has ended.
     bool checkLease(Subscriber& subscriber, Micros now);
     void sendHeartbeat(Subscriber& subscriber, HeartbeatCache& encoded) const;
 
@@ -125,13 +140,13 @@
     TopicStore topics_;
     MessageCache messages_;
     FlowControl flowControl_;
-    RetryAfterPlanner retryAfter_;
+    RetryAfterScheduler retryAfter_;
     Subscribers subscribers_;
     std::map<ProxyId, SubscriberId> proxySessions_;
-    std::set<SubscriberId> observers_; // no proxies: they follow the tables of their zone's proxies
+    std::set<SubscriberId> observers_; // not proxies; they follow the tables of their zone
     MessageSender sender_;
     std::uint64_t nextSubscriberId_ = 1;
-    std::uint32_t tickInHeartbeat_ = 0;
+    std::uint32_t tickInHeartbeat_ = 0; // index of the next tick within the heartbeat interval
     bool isSuspended_ = false;
     bool hasPendingChanges_ = false;
 };
--- a/tests/flow_control_test.cpp
+++ b/tests/flow_control_test.cpp
@@ -1,4 +1,4 @@
-// Flow control of the pub-sub channel, and the Retry-After of disconnected subscribers.
+// Tests of the pub-sub channel's flow control and of the Retry-After delays of disconnected subscribers.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -10,7 +10,9 @@
 
 using namespace std::chrono_literals;
 
-TEST(FlowControl, EachAndAllSubscribersAreBoundedAndUrgentMessagesHaveCapacityLeft) {
+// Guards against one subscriber, or all of them together, filling the queue so that urgent messages cannot be
+// sent.
+TEST(FlowControl, EnforcesPerSubscriberAndTotalLimitsAndReservesCapacityForUrgentMessages) {
     FlowControl flowControl(
         {.maxLinesPerSubscriber = 100, .maxBytesPerSubscriber = 1000, .maxQueuedLines = 1000});
     using Decision = FlowControl::Decision;
@@ -18,7 +20,7 @@
     const MessageSize medium{100, 100};
     Window first;
     Window second;
-    // However large, where nothing else is unacknowledged.
+    // A message of any size may be sent if nothing else is unacknowledged.
     EXPECT_EQ(flowControl.check(MessagePriority::Snapshot, large, first, 0), Decision::Send);
     flowControl.onSent(first, large);
     EXPECT_EQ(flowControl.check(MessagePriority::Change, {1, 1}, first, 0), Decision::SubscriberWindowFull);
@@ -38,7 +40,9 @@
     EXPECT_FALSE(flowControl.dequeueWaiter());
 }
 
-TEST(FlowControl, CountsTheLinesOfAStalledSubscriberAndKeepsTheLimitForExclusions) {
+// The lines of a subscriber that does not acknowledge may still be in the queue. If they were no longer
+// counted, exclusions would be admitted beyond the limit.
+TEST(FlowControl, CountsLinesOfStalledSubscriberAgainstLimitForExclusions) {
     FlowControl flowControl(
         {.maxLinesPerSubscriber = 100, .maxBytesPerSubscriber = 1000, .maxQueuedLines = 100});
     using Decision = FlowControl::Decision;
@@ -55,11 +59,11 @@
     EXPECT_EQ(flowControl.lines(), 0U);
 }
 
-TEST(RetryAfterPlanner, SubscribersDisconnectedTogetherReconnectApart) {
-    RetryAfterPlanner planner(1s, 100);
-    EXPECT_EQ(planner.nextRetryAfter(5s), 1s);
-    for (int k = 1; k < 300; ++k) EXPECT_EQ(planner.nextRetryAfter(5s), 1s + k * 10ms);
-    EXPECT_EQ(planner.nextRetryAfter(60s), 1s);
+TEST(RetryAfterScheduler, SpreadsReconnectsOfSubscribersDisconnectedTogether) {
+    RetryAfterScheduler scheduler(1s, 100);
+    EXPECT_EQ(scheduler.nextRetryAfter(5s), 1s);
+    for (int k = 1; k < 300; ++k) EXPECT_EQ(scheduler.nextRetryAfter(5s), 1s + k * 10ms);
+    EXPECT_EQ(scheduler.nextRetryAfter(60s), 1s);
 }
 
 } // namespace
