--- a/src/pubsub/pubsub_service.cpp
+++ b/src/pubsub/pubsub_service.cpp
@@ -33,7 +33,9 @@
 
 std::shared_ptr<net::Listener> PubsubService::makeListener(const Endpoint& endpoint) {
     const auto address = net::parseAddress(endpoint.listen);
-    if (!address) throw InputError("the channel's address can't be read: '" + endpoint.listen + "'");
+    if (!address)
+        throw InputError("invalid listen address of the pub-sub channel: expected IP:PORT, got '" +
+                         endpoint.listen + "'");
     const auto makeSession = [this](net::Connection& connection) {
         return makeSubscriberSession(*server_, connection);
     };
--- a/src/pubsub/pubsub_service.h
+++ b/src/pubsub/pubsub_service.h
@@ -1,5 +1,5 @@
-// The pub-sub channel as a whole: server, listener and tick timer, switched on, moved and switched off as the
-// operator's configuration says.
+// The complete pub-sub channel: server, listener and tick timer. The operator's configuration switches it on
+// and off and sets its listen address.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,16 +16,18 @@
 
 namespace zincstack::pubsub {
 
+/// Runs the pub-sub channel on the event loop.
 class PubsubService {
 public:
     using MakeServer = std::function<std::unique_ptr<SubscriptionServer>()>;
 
-    /// What can change while the program runs.
+    /// Settings that can change while the program runs.
     struct Endpoint {
-        std::string listen;
-        std::size_t maxSubscribers;
+        std::string listen;         ///< address and port to listen on
+        std::size_t maxSubscribers; ///< maximum number of connections
     };
-    /// `makeServer` is called when the channel is first switched on. `bufferPool` must outlive the event loop.
+    /// `makeServer` is called when the channel is switched on for the first time. `bufferPool` must outlive
+    /// the event loop.
     PubsubService(boost::asio::io_context& io, net::Counters& counters, net::BufferPool& bufferPool,
                   MakeServer makeServer, Micros heartbeatInterval);
     ~PubsubService();
@@ -34,11 +36,12 @@
     PubsubService& operator=(const PubsubService&) = delete;
     PubsubService& operator=(PubsubService&&) = delete;
 
-    /// Switches the channel on at that endpoint, moves it there, or switches it off where there is none. Throws
-    /// InputError where the address is invalid, and boost::system::system_error where it cannot be listened on; the
-    /// channel is then as it was.
+    /// Switches the channel on, moves it to another listen address, or switches it off if `endpoint` is
+    /// std::nullopt. Throws InputError if the address is invalid, and boost::system::system_error if it
+    /// cannot be listened on. The channel is not changed in these cases. A change of `maxSubscribers` alone
+    /// has no effect.
     void configure(const std::optional<Endpoint>& endpoint);
-    /// Where it listens; none while it is off.
+    /// Returns the listen address; std::nullopt while the channel is off.
     std::optional<boost::asio::ip::tcp::endpoint> address() const;
 
 private:
@@ -53,10 +56,10 @@
     const MakeServer makeServer_;
     const Micros tickInterval_;
     boost::asio::steady_timer tickTimer_;
-    std::unique_ptr<SubscriptionServer>
-        server_; // kept once made: connections that end late still refer to it
+    // Kept once created, because connections that close late still refer to it.
+    std::unique_ptr<SubscriptionServer> server_;
     std::shared_ptr<net::Listener> listener_;
-    std::string configuredAddress_; // as the configuration wrote it
+    std::string configuredAddress_; // as written in the configuration
 };
 
 } // namespace zincstack::pubsub
--- a/tests/pubsub_service_test.cpp
+++ b/tests/pubsub_service_test.cpp
@@ -1,4 +1,5 @@
-// PubsubService on loopback: the real planner, hundreds of clients in one process, faults from a seed.
+// Tests of PubsubService over loopback with the production planner, up to 300 clients in one process, and
+// faults from a fixed random seed.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/read.hpp>
 #include <boost/asio/write.hpp>
@@ -70,11 +71,11 @@
     std::set<std::size_t> stalled;
     std::mt19937 random{20261201};
     std::string violation;
-    std::map<std::string, pubsub::Sequence> excludedSince;
+    std::map<std::string, pubsub::Sequence> excludedSince; ///< exclusions sequence by drained endpoint
 
     void SetUp() override {
         wakeUpTarget = &batchRunner;
-        alarm(100); // nothing here takes so long
+        alarm(100); // seconds; ends a test that hangs
         service.configure(pubsub::PubsubService::Endpoint{"127.0.0.1:0", 400});
     }
     void TearDown() override {
@@ -127,38 +128,41 @@
             if (!stalled.contains(k) && !isUpToDate(k)) return false;
         return true;
     }
-    /// The shared queue stays bounded, after every piece of work.
+    /// Checks that the shared queue stays within its limit. Called after each event.
     void checkQueue() {
         const auto lines =
             static_cast<double>(server->flowControl().lines() + routingState.unacknowledgedLines());
-        if (lines > 0.95 * channelLimits.maxQueuedLines) violation = "short queue: too many lines wait";
+        if (lines > 0.95 * channelLimits.maxQueuedLines) violation = "too many unacknowledged lines";
     }
+    /// Checks that each client has an eligible endpoint in every table, and none that it knows to be
+    /// excluded.
     void checkTables() {
         for (const auto& subscriber : clients) {
             const auto& replica = subscriber->subscription().replica();
             const auto known = replica.at(pubsub::kExclusionsTopic);
             for (const auto& [topic, table] : replica.tables()) {
                 const auto eligible = replica.eligibleEndpoints(table, client::SubscriptionClient::now());
-                if (eligible.empty()) violation = "a joined proxy has no server";
+                if (eligible.empty()) violation = "a subscribed proxy has no eligible endpoint";
                 for (const auto& [endpoint, weight] : eligible)
                     if (const auto excluded = excludedSince.find(endpoint);
                         excluded != excludedSince.end() && known && *known >= excluded->second)
-                        violation = "a server is picked that is known to be withdrawn";
+                        violation = "an endpoint known to be excluded is eligible";
             }
         }
     }
-    /// Runs until the condition holds; the alarm ends a run in which it never does.
-    void runUntil(const std::function<bool()>& condition, int every = 200) {
+    /// Runs the event loop until the condition holds, which is checked after every `checkInterval` events.
+    /// The alarm ends the test if the condition never holds.
+    void runUntil(const std::function<bool()>& condition, int checkInterval = 200) {
         for (int k = 0;; ++k) {
             io.run_one();
             checkQueue();
-            if (k % every == 0) {
+            if (k % checkInterval == 0) {
                 checkTables();
                 if (condition()) return;
             }
         }
     }
-    /// Drains endpoints, and notes from which sequence on each is excluded.
+    /// Drains endpoints, and records the exclusions sequence from which each of them is excluded.
     void drain(int from, int to) {
         updateEndpoints(EndpointListUpdate::Delta, from, to, "Terminating");
         runUntil([&] {
@@ -172,14 +176,17 @@
     }
 };
 
-TEST_F(PubsubServiceTest, HundredsOfSubscribersEndWithTheSameTableThroughDisconnectsStallsAndDrains) {
+// Clients that disconnect or stop reading must neither keep the others from receiving drains and new
+// endpoints, nor miss a change themselves, nor make the shared queue exceed its limit.
+TEST_F(PubsubServiceTest, SubscribersConvergeThroughDisconnectsStallsAndDrains) {
     updateEndpoints(EndpointListUpdate::Snapshot, 0, 60, "Ready");
     join(0, kProxies);
     runUntil([&] { return allUpToDate(); });
-    EXPECT_GE(counters.of(net::Counter::Subscriptions), kProxies); // a slow machine may lose a session
+    // More than one per proxy if a session expires on a slow machine.
+    EXPECT_GE(counters.of(net::Counter::Subscriptions), kProxies);
 
     for (int round = 0; round < 4; ++round) {
-        for (std::size_t k = 0; k < kProxies; ++k) { // all at once
+        for (std::size_t k = 0; k < kProxies; ++k) { // without running the event loop
             if (random() % 10 == 0) {
                 clients[k]->pauseReading(true);
                 stalled.insert(k);
@@ -197,7 +204,9 @@
               static_cast<std::size_t>(0.95 * channelLimits.maxQueuedLines));
 }
 
-TEST_F(PubsubServiceTest, AfterSuspensionAllReconnectAndNeedOnlyWhatChanged) {
+// Switching the channel off and on must not send snapshots to every client, since their tables are still
+// valid.
+TEST_F(PubsubServiceTest, ClientsReconnectAfterSuspensionWithoutSnapshots) {
     updateEndpoints(EndpointListUpdate::Snapshot, 0, 20, "Ready");
     join(0, 60);
     runUntil([&] { return allUpToDate(); });
@@ -216,8 +225,9 @@
     EXPECT_EQ(counters.of(net::Counter::Snapshots), snapshots);
 }
 
-/// A proxy that has joined over both transports is served by the newest session alone.
-TEST_F(PubsubServiceTest, AProxyOnBothTransportsIsServedByItsNewestSession) {
+/// A proxy that has joined over both transports must be served by its newest session only. The late end of
+/// the older session must not be taken for the proxy leaving.
+TEST_F(PubsubServiceTest, ProxyOnBothTransportsIsServedByNewestSession) {
     tests::CapturingStream reader;
     updateEndpoints(EndpointListUpdate::Snapshot, 0, 4, "Ready");
     net::PeerSession session(inputTranslator, counters, bufferPool, reader, [] {});
@@ -226,7 +236,7 @@
     join(1, 2);
     runUntil([&] { return clients[0]->subscription().replica().tableOf("lookup") != nullptr; }, 1);
     EXPECT_TRUE(reader.wasReplaced);
-    session.connectionClosed(); // late: the proxy has not left
+    session.connectionClosed(); // the proxy still has its newer session
     const auto receivedBytes = reader.received.size();
     updateEndpoints(EndpointListUpdate::Delta, 4, 5, "Ready");
     runUntil(
@@ -236,20 +246,21 @@
         },
         1);
     EXPECT_EQ(reader.received.size(), receivedBytes);
-    // And back: the platform's session takes over, and the channel's is told why it ends.
+    // The reverse: a session of the platform transport takes over, and the channel's client gets the reason.
     tests::CapturingStream second;
     net::PeerSession again(inputTranslator, counters, bufferPool, second, [] {});
     again.feed("hello proxy=1 zone=a weight=5 fresh=0\r\n");
-    runUntil([&] { return clients[0]->subscription().disconnectNotice().has_value(); },
-             1); // it would reconnect
+    // Checked after each event, because the client reconnects.
+    runUntil([&] { return clients[0]->subscription().disconnectNotice().has_value(); }, 1);
     EXPECT_NE(clients[0]->subscription().disconnectNotice()->reason.find("newer stream"), std::string::npos);
     clients[0]->stop();
     runUntil([&] { return second.received.find("replace=1") != std::string::npos; }, 1);
     again.connectionClosed();
 }
 
-/// A pending write can keep a connection whose subscriber is gone, and the listener still asks its session.
-TEST_F(PubsubServiceTest, AClosedSessionIsNotUnidentifiedAndAcceptsNothing) {
+/// A pending write can keep a connection alive after its subscriber was destroyed, and the listener still
+/// calls its session.
+TEST_F(PubsubServiceTest, ClosedSessionIsNotUnidentifiedAndAcceptsNoInput) {
     const auto block = bufferPool.take();
     net::Connection connection(asio::ip::tcp::socket(io), counters, bufferPool, block, 1024);
     const auto session = pubsub::makeSubscriberSession(*server, connection);
@@ -262,7 +273,9 @@
     EXPECT_EQ(server->subscriberCount(), 0U);
 }
 
-TEST_F(PubsubServiceTest, ConnectionsThatViolateTheProtocolAreClosedWithAReasonAndDisturbNobody) {
+// Connections with other protocols or invalid frames must be closed with a reason, without effect on other
+// clients.
+TEST_F(PubsubServiceTest, ClosesConnectionsThatViolateProtocolWithReason) {
     updateEndpoints(EndpointListUpdate::Snapshot, 0, 10, "Ready");
     join(0, 20);
     runUntil([&] { return allUpToDate(); });
