--- a/src/planner/ids.h
+++ b/src/planner/ids.h
@@ -1,4 +1,4 @@
-// The identifiers that the planner and its callers share, and the unit of time. No logic, no state.
+// Identifier types and the time unit that the planner and its callers share. No logic, no state.
 #pragma once
 
 #include <chrono>
@@ -7,10 +7,11 @@
 
 namespace zincstack {
 
-/// Points in time and durations of the planner; callers choose the epoch.
+/// Unit of the planner's time points and durations. The caller chooses the epoch of time points.
 using Micros = std::chrono::microseconds;
 
-/// A distinct type for each kind of identifier, so that a proxy's number cannot be passed where a table's is meant.
+/// Strongly typed identifier: each tag makes a distinct type, so that a proxy's number cannot be passed as a
+/// table's.
 template <class Tag, class Rep>
 struct Id {
     Rep value{};
@@ -23,7 +24,7 @@
 using PodId = Id<struct PodTag, std::uint16_t>;
 using RequestClassId = Id<struct RequestClassTag, std::uint16_t>;
 using BarrierId = Id<struct BarrierTag, std::uint16_t>;
-/// Bit k stands for the request class at place k of PlannerConfig::requestClasses.
+/// Bit mask: bit k represents the request class at index k of PlannerConfig::requestClasses.
 using RequestClassSet = std::uint16_t;
 
 } // namespace zincstack
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -1,10 +1,10 @@
-// The planner's interface: the inputs that callers hand in, the routing updates that come out, and nothing
-// about how they are decided.
+// Public interface of the planner: its configuration, its inputs and the routing updates that it issues.
 //
-// A caller (the simulator's adapter, or the batch runner on sockets) makes one planner for each instance,
-// hands it inputs with the clock, and closes each batch with decide(). Updates go to the RoutingUpdateSink
-// that was given at the start, only from inside decide(). Names on a wire are the caller's: the planner knows
-// ids only. It is deterministic: the same inputs, clock and seed give the same updates.
+// A caller (the simulator's adapter, or the batch runner of the network daemon) creates one planner per
+// instance, passes in its inputs and the current time, and closes each batch of inputs with decide(). The
+// planner issues routing updates to the RoutingUpdateSink that it was created with, and only during decide().
+// It handles numeric ids only; callers translate them from and to the names on the wire. It is deterministic:
+// the same inputs, times and seed give the same updates.
 #pragma once
 
 #include <cstddef>
@@ -21,61 +21,64 @@
 
 // ---- configuration, read once at start -------------------------------------------------------------------
 
-/// Whether a request may run twice.
+/// Whether a request may be executed more than once.
 enum class Idempotency : std::uint8_t {
-    Idempotent,       ///< running it again has no effect
-    IdempotencyKeyed, ///< endpoints discard a repetition by its idempotency key
+    Idempotent,       ///< executing it again has no further effect
+    IdempotencyKeyed, ///< endpoints use its idempotency key to discard duplicates
     NonIdempotent,
 };
-/// What is promised to the callers of one class of requests.
+/// Service objectives and properties of one request class.
 struct RequestClassConfig {
-    Micros latencyObjective{};     ///< answers after it count as late
-    Micros deadline{};             ///< after it nobody waits for the answer
-    double priorityWeight = 0;     ///< value of an answer within the objective
-    double latePriorityWeight = 0; ///< value of an answer between objective and deadline
+    Micros latencyObjective{};     ///< a response that takes longer counts as late
+    Micros deadline{};             ///< the caller stops waiting for the response after this time
+    double priorityWeight = 0;     ///< value of a response within the latency objective
+    double latePriorityWeight = 0; ///< value of a response between the latency objective and the deadline
     Idempotency idempotency = Idempotency::NonIdempotent;
-    bool zoneLocal = false; ///< only endpoints of the proxy's own zone may serve it
-    bool writes = true;
+    bool zoneLocal = false; ///< only endpoints in the proxy's own zone may serve it
+    bool writes = true;     ///< its requests modify data
 };
-/// What the channel from planner to proxies can carry. A line is the unit in which updates are counted.
+/// Capacity of the control channel from the planner to its proxies. A line is the unit in which updates are
+/// counted.
 struct ControlChannelLimits {
     double linesPerSecond = 0;
-    double messageOverheadLines = 0;       ///< for each message, beside its updates and its barrier
-    double maxQueuedLines = 0;             ///< written and perhaps not yet delivered
-    std::uint32_t maxMessagesPerProxy = 0; ///< to one proxy within messageWindow; 0: no limit
-    Micros messageWindow{};
-    Micros meanTransitTime{};
+    double messageOverheadLines = 0;       ///< per message, in addition to its updates and its barrier
+    double maxQueuedLines = 0;             ///< limit of the lines written and possibly not delivered yet
+    std::uint32_t maxMessagesPerProxy = 0; ///< limit within messageWindow; 0: unlimited
+    Micros messageWindow{};                ///< sliding window in which maxMessagesPerProxy applies
+    Micros meanTransitTime{};              ///< of a message, from the planner to a proxy
     Micros worstTransitTime{};
 };
-/// Rules for the operation of endpoints that every decision has to keep.
+/// Safety rules for endpoints and proxies that every decision must comply with.
 struct SafetyLimits {
-    Micros maxTimeWithoutEndpoint{}; ///< for which a proxy may hold no usable endpoint
-    Micros drainGracePeriod{};       ///< within which tables must no longer name an endpoint that drains
-    double coldCapacityFraction = 0; ///< capacity of an endpoint just started, as a fraction of its full one
-    Micros warmUpDuration{};         ///< from the start of an endpoint to its full capacity
-    double overloadFactor = 0;       ///< load over capacity at which an endpoint fails...
-    Micros overloadDuration{};       ///< ...when it lasts for so long
-    bool removalIsBinding = true;    ///< false: only an endpoint seen as draining must leave the tables
+    Micros maxTimeWithoutEndpoint{}; ///< longest time that a proxy may be without a usable endpoint
+    Micros drainGracePeriod{};       ///< time within which a draining endpoint must leave all tables
+    double coldCapacityFraction = 0; ///< capacity of a newly started endpoint, as a fraction of its full one
+    Micros warmUpDuration{};         ///< time from the start of an endpoint until it has its full capacity
+    double overloadFactor = 0;       ///< ratio of load to capacity that makes an endpoint fail...
+    Micros overloadDuration{};       ///< ...if it persists for this long
+    bool removalIsBinding = true;    ///< false: only endpoints listed as draining must leave the tables
 };
 /// How proxies limit the requests that they admit.
 enum class ThrottleMode : std::uint8_t {
     None,
-    Fraction, ///< each admits a fraction of its requests
-    Rate,     ///< each admits a number of requests a second
+    Fraction, ///< each proxy admits a fraction of its requests
+    Rate,     ///< each proxy admits a number of requests per second
 };
+/// Number and properties of the proxies.
 struct ProxyFleetConfig {
     std::uint32_t proxyCount = 0;
-    std::uint32_t bootstrapTableSize = 0; ///< endpoints in the table that a proxy starts with
+    std::uint32_t bootstrapTableSize = 0; ///< number of endpoints in the table that a proxy starts with
     ThrottleMode throttleMode = ThrottleMode::None;
 };
+/// Properties of the fleet of endpoints and of the planners that serve it.
 struct FleetConfig {
     std::uint8_t zoneCount = 1;
     std::uint32_t plannerCount = 1;
-    bool hasEndpointWeights = false;       ///< the endpoint list carries weights; false: all are equal
-    bool mustSubscribeToEndpoints = false; ///< list changes are sent only after a subscription
+    bool hasEndpointWeights = false;       ///< the endpoint list contains weights; false: all are equal
+    bool mustSubscribeToEndpoints = false; ///< list changes are sent to subscribers only
     bool probingAllowed = false;
-    Micros reportInterval{}; ///< between two load reports of a proxy
-    bool sharded = false;    ///< tables belong to ranges of keys: unsupported, every input is ignored
+    Micros reportInterval{}; ///< time between two load reports of a proxy
+    bool sharded = false;    ///< tables cover key ranges; unsupported: decide() then issues nothing
 };
 
 // ---- inputs ----------------------------------------------------------------------------------------------
@@ -85,33 +88,34 @@
 struct EndpointUpdate {
     EndpointId id;
     EndpointState state = EndpointState::Removed;
-    Micros startedAt{}; ///< zero: long ago
+    Micros startedAt{}; ///< zero: started long ago
     double weight = 1;
     PodId pod;
     ZoneId zone;
 };
-/// Where an endpoint list comes from, and whether endpoints that it does not name still exist.
+/// Origin and completeness of an endpoint list. An endpoint missing from a complete list is treated like one
+/// that is listed as removed.
 enum class EndpointListUpdate : std::uint8_t {
-    Cached,     ///< complete, as known before the start
-    Delta,      ///< only what changed
-    Snapshot,   ///< complete
-    PollFailed, ///< no list could be had
+    Cached,     ///< complete list from before the planner started
+    Delta,      ///< only the entries that changed
+    Snapshot,   ///< complete list
+    PollFailed, ///< no list could be fetched
 };
 
-/// What an endpoint says of its own load; absent where it does not say.
+/// Load that an endpoint reports about itself; std::nullopt for each figure that it does not report.
 struct LoadReport {
     std::optional<double> utilization;
     std::optional<double> queueLength;
     std::optional<double> inFlight;
     std::optional<double> serviceTimeMillis;
 };
-/// Results of the attempts that the proxies of a zone sent to one endpoint during an interval.
+/// Results of the attempts that the proxies of one zone sent to one endpoint during an interval.
 struct EndpointLoadReport {
     EndpointId endpoint;
     ZoneId proxyZone;
     std::uint32_t attempts = 0;
     std::uint32_t failures = 0;
-    Micros meanLatency{}; ///< of the attempts that succeeded; zero: there were none
+    Micros meanLatency{}; ///< of the successful attempts; zero if there were none
     Micros interval{};
     LoadReport load;
 };
@@ -120,10 +124,12 @@
     ProxyId proxy;
     RequestClassId requestClass;
     std::uint32_t requests = 0;
-    std::uint32_t unanswered = 0; ///< admitted, yet without an answer
+    std::uint32_t unanswered = 0; ///< requests admitted that got no response
     Micros interval{};
 };
+/// Outcome of a health check.
 enum class ProbeStatus : std::uint8_t { Answered, Error, Rejected, TimedOut, Unreachable, ProtocolError };
+/// Result of a health check of one endpoint.
 struct ProbeResult {
     EndpointId endpoint;
     ProbeStatus status = ProbeStatus::TimedOut;
@@ -133,15 +139,16 @@
 
 // ---- routing updates -------------------------------------------------------------------------------------
 
-/// When a proxy may send a request again to another endpoint.
+/// When a proxy may retry a request at another endpoint.
 enum class RetryPolicy : std::uint8_t {
     Never,
-    AfterProofOfNoEffect, ///< only if the first attempt surely never ran
+    AfterProofOfNoEffect, ///< only if the first attempt provably was not executed
     OnceOnFailure,
     TwiceOnFailure,
 };
 
-/// Takes the planner's routing updates and sends them to proxies. Called only from inside Planner::decide().
+/// Receives the planner's routing updates and sends them to proxies. Updates are issued only during
+/// Planner::decide().
 class RoutingUpdateSink {
 public:
     RoutingUpdateSink() = default;
@@ -152,40 +159,46 @@
     virtual ~RoutingUpdateSink() = default;
     /// A weight of 0 removes the endpoint from the table.
     virtual void setWeight(TableId table, EndpointId endpoint, double weight) = 0;
+    /// Makes the proxy use the table for these request classes.
     virtual void assignTable(ProxyId proxy, RequestClassSet requestClasses, TableId table) = 0;
-    /// Excludes an endpoint at all proxies, whatever table they hold, or readmits it.
+    /// Excludes an endpoint at all proxies, regardless of the tables that they hold, or readmits it.
     virtual void setExcluded(EndpointId endpoint, bool excluded) = 0;
-    /// No table: for every joined proxy. `limit` is a fraction or a rate, as ProxyFleetConfig::throttleMode
-    /// says.
+    /// Sets the admission limit and the retry policy of a table, or of every joined proxy if `table` is
+    /// std::nullopt. ProxyFleetConfig::throttleMode determines whether `limit` is a fraction or a rate.
     virtual void setAdmission(std::optional<TableId> table, RequestClassSet requestClasses, double limit,
                               RetryPolicy retryPolicy) = 0;
-    /// Closes the message of each proxy that was sent an update in this batch, or of every proxy.
+    /// Adds a barrier, which closes the current message, for each proxy that has updates in this batch, or
+    /// for every proxy. Proxies acknowledge barriers.
     virtual void requestBarrier(BarrierId barrier, bool everyProxy) = 0;
+    /// Starts a health check; its result is passed to Planner::probeCompleted().
     virtual void probe(EndpointId endpoint) = 0;
+    /// Requests a subscription to changes of the endpoint list.
     virtual void subscribeToEndpoints() = 0;
-    /// Planner::timerExpired() is to be called after the delay.
+    /// Schedules a call of Planner::timerExpired() after the delay.
     virtual void scheduleWakeUp(Micros delay) = 0;
-    /// Informs the operator of a decision; it asks for nothing. Unlike updates, events come from inputs too.
+    /// Reports an event to the operator; no action is required. Unlike updates, events are also reported
+    /// while the planner handles inputs.
     virtual void report(const PlannerEvent& event) = 0;
-    /// Drops all state of an endpoint that has ended. False: an exclusion can't be taken back for an endpoint that
-    /// is listed anew, so the planner has to remember it.
+    /// Drops all state of an endpoint that no longer exists. Returns false if it cannot: an exclusion could
+    /// not be reverted if the endpoint were listed again, so the planner must keep the endpoint's state.
     virtual bool forgetEndpoint(EndpointId) { return false; }
-    /// Readmits, at a proxy with an assigned table, at most `maxEndpoints` of its tables' endpoints that an
-    /// earlier planner may have excluded there: a line each. False: there is none.
+    /// Readmits, at a proxy with an assigned table, at most `maxEndpoints` endpoints of its tables that an
+    /// earlier planner may have excluded there. Each costs one line. Returns false if there are none.
     virtual bool clearStaleExclusions(ProxyId, std::size_t /*maxEndpoints*/) { return false; }
-    /// Lines that may still be in the channel, and those that wait for capacity in it, as encoded. None: the
-    /// sink does not measure, and the planner estimates. A sink that measures keeps the limit of the queue by
-    /// itself: updates that do not fit wait and are merged.
+    /// Encoded lines that may still be in the control channel plus those that wait for capacity in it.
+    /// std::nullopt if the sink does not measure them; the planner then estimates. A sink that measures
+    /// enforces the queue limit itself: updates that do not fit wait and are merged.
     virtual std::optional<double> pendingLines() const { return {}; }
-    /// Updates wait that have no barrier to go with.
+    /// Whether updates are pending without a barrier to close their message.
     virtual bool needsBarrier() const { return false; }
-    /// Whether the proxy can later be assigned another table for the same request classes.
+    /// Whether the proxy can be assigned a different table for the same request classes later.
     virtual bool supportsReassignment(ProxyId) const { return false; }
 };
 
 // ---- the planner -----------------------------------------------------------------------------------------
 
-/// Decides which endpoints the proxies' tables name. Inputs only change its state; decide() acts on them.
+/// Decides which endpoints the proxies' tables contain, and with what weights. Inputs only update its state
+/// and may report events; decide() issues the updates.
 class Planner {
 public:
     Planner() = default;
@@ -194,25 +207,28 @@
     Planner& operator=(const Planner&) = delete;
     Planner& operator=(Planner&&) = delete;
     virtual ~Planner() = default;
-    /// Opens a batch, or moves the clock of the open one on; it only moves forward.
+    /// Opens a batch, or advances the clock of the open one. The clock never goes back.
     virtual void beginBatch(Micros now) = 0;
     virtual void updateEndpoints(EndpointListUpdate kind, std::span<const EndpointUpdate> entries) = 0;
-    /// `expectedRate`: requests a second, until its first demand report. `hasOnlyBootstrapTable`: it holds
-    /// nothing but the short table that it started with; false: a table of an earlier planner.
+    /// `expectedRate`: requests per second to assume until the proxy's first demand report.
+    /// `hasOnlyBootstrapTable`: true if the proxy holds only the short table that it started with, false if
+    /// it holds a table from an earlier planner.
     virtual void proxyJoined(ProxyId proxy, ZoneId zone, double expectedRate, bool hasOnlyBootstrapTable) = 0;
     virtual void proxyLeft(ProxyId proxy) = 0;
     virtual void reportLoad(const EndpointLoadReport& report) = 0;
     virtual void reportDemand(const DemandReport& report) = 0;
+    /// The proxy has applied the message that the barrier closes, and all messages before it.
     virtual void barrierAcknowledged(ProxyId proxy, BarrierId barrier) = 0;
     virtual void probeCompleted(const ProbeResult& result) = 0;
+    /// The delay of RoutingUpdateSink::scheduleWakeUp() has elapsed.
     virtual void timerExpired() = 0;
-    /// Closes the batch: all updates that follow from its inputs go to the sink now.
+    /// Closes the batch and issues the resulting updates to the sink.
     virtual void decide() = 0;
 };
 
-/// All that a planner is told at start.
+/// Configuration of a planner, fixed when it is created.
 struct PlannerConfig {
-    std::uint64_t seed = 0; ///< of its random numbers
+    std::uint64_t seed = 0; ///< seed of the random number generators
     FleetConfig fleet;
     ProxyFleetConfig proxyFleet;
     ControlChannelLimits channel;
@@ -220,7 +236,7 @@
     std::vector<RequestClassConfig> requestClasses; ///< at least one, at most 16
 };
 
-/// `sink` must outlive the planner.
+/// Creates a planner that issues its updates to `sink`, which must outlive it.
 std::unique_ptr<Planner> makePlanner(const PlannerConfig& config, RoutingUpdateSink& sink);
 
 } // namespace zincstack
--- a/src/planner/planner_event.cpp
+++ b/src/planner/planner_event.cpp
@@ -1,3 +1,4 @@
+// Log names and text format of planner events.
 #include "planner/planner_event.h"
 
 namespace zincstack {
--- a/src/planner/planner_event.h
+++ b/src/planner/planner_event.h
@@ -1,6 +1,6 @@
-// Planner events: the mode changes that the planner reports to the operator's log, as typed values.
+// Typed events that the planner reports to the operator: ejections, load shedding and update deadlocks.
 //
-// Events only inform; no routing update depends on them. The sink decides how an event is written.
+// Events are informational: no routing update depends on them. The sink decides how to log an event.
 #pragma once
 
 #include <string>
@@ -11,32 +11,36 @@
 
 namespace zincstack {
 
-/// An endpoint is withdrawn from all tables: its load reports were bad and a health check confirmed it.
+/// An endpoint was ejected, to be withdrawn from all tables: its load reports were bad and a health check
+/// confirmed the failure.
 struct EndpointEjected {
     EndpointId endpoint;
-    double attempts = 0; ///< decayed count of attempts that the decision is based on
-    double failures = 0; ///< those of them that failed
+    double attempts = 0; ///< decayed number of attempts that the decision is based on
+    double failures = 0; ///< decayed number of failures among these attempts
     friend bool operator==(const EndpointEjected&, const EndpointEjected&) = default;
 };
 
-/// An ejected endpoint is no longer ejected: it recovered, restarted or was removed from the endpoint list.
+/// An endpoint is no longer ejected: it recovered, restarted, started to drain or was removed from the
+/// endpoint list.
 struct EndpointReadmitted {
     EndpointId endpoint;
-    double attempts = 0; ///< decayed count of attempts since the ejection
-    double failures = 0; ///< those of them that failed
+    double attempts = 0; ///< decayed number of attempts since the ejection
+    double failures = 0; ///< decayed number of failures among these attempts
     friend bool operator==(const EndpointReadmitted&, const EndpointReadmitted&) = default;
 };
 
-/// Admission control begins to shed load.
+/// Admission control started to shed load.
 struct LoadSheddingStarted {
-    double demand = 0;       ///< work that is asked for: requests/s times their latency objective
-    double bestCapacity = 0; ///< the most work that the fleet has completed, in the same unit
-    double overload =
-        0; ///< fraction of the median endpoint's attempts that are late or fail beside late ones
+    /// Offered work: requests per second times their latency objective, summed over the request classes.
+    double demand = 0;
+    /// Most work that the fleet has completed, decaying slowly, in the unit of `demand`.
+    double bestCapacity = 0;
+    /// Fraction of the median endpoint's attempts that are late, or that fail while its responses are slow.
+    double overload = 0;
     friend bool operator==(const LoadSheddingStarted&, const LoadSheddingStarted&) = default;
 };
 
-/// Admission control admits everything again. The fields are those of LoadSheddingStarted.
+/// Admission control admits all requests again. For the fields see LoadSheddingStarted.
 struct LoadSheddingStopped {
     double demand = 0;
     double bestCapacity = 0;
@@ -44,20 +48,21 @@
     friend bool operator==(const LoadSheddingStopped&, const LoadSheddingStopped&) = default;
 };
 
-/// No pending change fitted the capacity of the endpoints: one table moves at a reduced rate until the round ends.
+/// No pending change fits the residual capacity of the endpoints: one table is updated at a reduced admission
+/// rate until the round ends.
 struct UpdateDeadlock {
     TableId table;
-    double rateLimitFraction = 1; ///< fraction of the table's requests that is admitted meanwhile
+    double rateLimitFraction = 1; ///< fraction of the table's requests that is admitted until then
     friend bool operator==(const UpdateDeadlock&, const UpdateDeadlock&) = default;
 };
 
 using PlannerEvent = std::variant<EndpointEjected, EndpointReadmitted, LoadSheddingStarted,
                                   LoadSheddingStopped, UpdateDeadlock>;
 
-/// The name of an event in logs, such as `endpoint_ejected`.
+/// Name of the event in logs, for example `endpoint_ejected`.
 std::string_view eventName(const PlannerEvent& event);
 
-/// One line of text: the name and all fields, identifiers as numbers.
+/// The event as one line of text: its name and all its fields, with numeric identifiers.
 std::string eventText(const PlannerEvent& event);
 
 } // namespace zincstack
--- a/src/planner/proxy_registry.h
+++ b/src/planner/proxy_registry.h
@@ -1,4 +1,5 @@
-// Which proxies have joined, what they hold and what they request. State only.
+// Registry of the joined proxies: the tables that they hold, their demand and their unacknowledged messages.
+// State only.
 #pragma once
 
 #include <deque>
@@ -10,37 +11,40 @@
 
 namespace zincstack {
 
-/// A message that was sent to a proxy and that it has not acknowledged.
+/// A message that was sent to a proxy and has not been acknowledged.
 struct UnacknowledgedMessage {
     BarrierId barrier;
-    double lines = 0; ///< with its overhead
+    double lines = 0; ///< including the overhead of the message
 };
 
+/// State of a joined proxy.
 struct Proxy {
     ZoneId zone;
-    bool hasFullTable = false; ///< it is assigned the full tables of its zone
-    /// Of a proxy with an inherited table: that is the bootstrap table; false: a table of an earlier planner.
+    bool hasFullTable = false; ///< the full tables of its zone are assigned to it
+    /// Kind of the inherited table that it joined with: true for the bootstrap table, false for a table from
+    /// an earlier planner.
     bool hasOnlyBootstrapTable = true;
-    std::vector<double> demand; ///< requests a second, by place of the request class
-    double stagedLines = 0;     ///< in the message of the open batch
+    std::vector<double> demand; ///< requests per second, by index of the request class
+    double stagedLines = 0;     ///< lines of its message in the open batch, without overhead
     std::deque<UnacknowledgedMessage> unacknowledged = {}; ///< oldest first
     Micros joinedAt{};
-    bool staleExclusionsCleared = false; ///< what earlier planners excluded at it has been readmitted
-    /// Places of the subset tables that it holds. Empty: it holds full tables, or an inherited one.
+    bool staleExclusionsCleared = false; ///< exclusions by earlier planners have been reverted at it
+    /// Indices of the subset tables that it holds. Empty: it holds full tables or an inherited one.
     std::vector<EndpointIndex> subsetTables = {};
 
-    /// Nothing has been assigned to it yet: it holds what it joined with.
+    /// Whether it still holds the table that it joined with, since none has been assigned to it yet.
     bool usesInheritedTable() const { return !hasFullTable && subsetTables.empty(); }
-    /// Requests a second of all classes.
+    /// Requests per second, summed over all request classes.
     double requestRate() const { return std::accumulate(demand.begin(), demand.end(), 0.0); }
 };
 using ProxyRegistry = std::map<ProxyId, Proxy>;
 
-/// Requests a second of each class, summed over all proxies.
+/// Requests per second of each request class, summed over all proxies.
 inline std::vector<double> demandByClass(const ProxyRegistry& proxies, EndpointIndex classCount) {
     std::vector<double> total(classCount, 0);
     for (const auto& [id, proxy] : proxies)
-        for (EndpointIndex place = 0; place < classCount; ++place) total[place] += proxy.demand[place];
+        for (EndpointIndex requestClass = 0; requestClass < classCount; ++requestClass)
+            total[requestClass] += proxy.demand[requestClass];
     return total;
 }
 
--- a/tests/planner_event_test.cpp
+++ b/tests/planner_event_test.cpp
@@ -1,4 +1,5 @@
-// Planner events as text: what the operators' page and the log of the simulator show.
+// Text format of planner events in logs: as the simulator's adapter writes them, and as the network daemon
+// logs them, with the names of endpoints.
 #include <gtest/gtest.h>
 
 #include "log/log.h"
