--- a/src/planner/admission_control.cpp
+++ b/src/planner/admission_control.cpp
@@ -1,3 +1,4 @@
+// Load shedding, and the admission limits of request classes and tables that result from it.
 #include "planner/admission_control.h"
 
 #include <algorithm>
@@ -13,13 +14,14 @@
 
 namespace {
 
-/// Congestion (fraction of attempts) above which load shedding starts in any case.
+/// Congestion (fraction of attempts) above which load shedding starts regardless of the offered work.
 constexpr double kSheddingCongestion = 0.3;
 
-/// Load shedding starts at the target overload already where the work exceeds the best capacity by this factor.
-constexpr double kDemandJump = 1.2;
+/// Load shedding already starts above the target overload if the ratio of offered work to the best capacity
+/// is above this.
+constexpr double kDemandSurgeRatio = 1.2;
 
-/// Change of the capacity factor per second and unit of distance from the target overload.
+/// Change of the capacity factor per second, per unit of difference between target overload and congestion.
 constexpr double kCapacityFactorGain = 0.5;
 
 /// Largest decrease of the capacity factor per second.
@@ -28,46 +30,47 @@
 /// Largest increase of the capacity factor per second; less than the decrease, so that overload ends quickly.
 constexpr double kMaxFactorIncrease = 0.06;
 
-/// Capacity factor with which load shedding starts: below 1, so that queues can empty.
+/// Capacity factor at the start of load shedding: below 1, so that queues can drain.
 constexpr double kInitialCapacityFactor = 0.85;
 
 /// Bounds of the capacity factor.
 constexpr double kMinCapacityFactor = 0.5;
 constexpr double kMaxCapacityFactor = 1.3;
 
-/// What a report interval leaves of the best capacity, so that it follows a fleet that becomes slower.
+/// Factor by which the best capacity decays per report interval, so that it follows a fleet that becomes
+/// slower.
 constexpr double kBestCapacityDecay = 0.995;
 
-/// Fraction of each request class that is admitted whatever happens.
+/// Fraction of each request class that is always admitted.
 constexpr double kMinAdmittedFraction = 0.1;
 
-/// Part of the admitted requests that reports must have told of before the best capacity is trusted: just after a start
-/// they tell of few proxies, and the best would be next to nothing.
-constexpr double kReportCoverage = 0.8;
+/// Fraction of the admitted requests that load reports must have covered before load shedding may start:
+/// shortly after the start of the planner they cover few proxies, so the best capacity is far too low.
+constexpr double kMinReportCoverage = 0.8;
 
-/// Relative change of a limit below which it is not worth a line in the control channel.
+/// Relative change of a limit up to which no line of the control channel is spent on it.
 constexpr double kMinAdmissionChange = 0.02;
 
-/// Requests per second at a proxy that stand for no limit.
+/// Rate limit of a proxy, in requests per second, that is too high to take effect.
 constexpr double kUnlimitedRate = 1e6;
 
-/// Time until a new limit shows in the load reports.
+/// Time until a new limit shows its effect in the load reports.
 constexpr Micros kSettlingTime = 3s;
 
-/// A limit that was never ordered.
-constexpr double kNeverOrdered = -1;
+/// Placeholder for a limit that has never been issued.
+constexpr double kNeverIssued = -1;
 
 } // namespace
 
 AdmissionController::AdmissionController(RoutingUpdateSink& sink, ThrottleMode mode, Micros reportInterval,
                                          std::vector<RequestClassConfig> requestClasses)
     : sink_(sink), mode_(mode), reportInterval_(reportInterval), requestClasses_(std::move(requestClasses)),
-      cutOrder_(requestClasses_.size()), admittedFractions_(requestClasses_.size(), 1) {
-    std::iota(cutOrder_.begin(), cutOrder_.end(), std::size_t{0});
+      sheddingOrder_(requestClasses_.size()), admittedFractions_(requestClasses_.size(), 1) {
+    std::iota(sheddingOrder_.begin(), sheddingOrder_.end(), std::size_t{0});
     const auto priority = [&](std::size_t requestClass) {
         return requestClasses_[requestClass].priorityWeight / latencyObjective(requestClass);
     };
-    std::ranges::stable_sort(cutOrder_, {}, priority);
+    std::ranges::stable_sort(sheddingOrder_, {}, priority);
 }
 
 double AdmissionController::latencyObjective(std::size_t requestClass) const {
@@ -91,24 +94,25 @@
 }
 
 void AdmissionController::updateForOverload(const FleetPerformance& fleet, const ProxyRegistry& proxies) {
-    const OfferedLoad offered = measure(proxies);
+    const OfferedLoad offered = offeredLoad(proxies);
     if (offered.admittedRate <= 0 || fleet.totalTargetWeight <= 0) return;
     const double capacity =
         fleet.successRate * offered.admittedWork / offered.admittedRate / fleet.totalTargetWeight;
     bestCapacity_ = std::max(bestCapacity_ * kBestCapacityDecay, capacity);
     const bool wasShedding = isShedding_;
-    reportsCoverDemand_ = reportsCoverDemand_ || fleet.attemptRate >= kReportCoverage * offered.admittedRate;
+    reportsCoverDemand_ =
+        reportsCoverDemand_ || fleet.attemptRate >= kMinReportCoverage * offered.admittedRate;
     if (mustStartShedding(fleet, offered))
         startShedding(fleet, offered);
     else if (isShedding_)
         adjustCapacityFactor(fleet.congestion);
-    const bool fits = offered.work <= capacityFactor_ * bestCapacity_ * fleet.totalTargetWeight;
-    if (fleet.congestion < kTargetOverload && fits) isShedding_ = false;
+    const bool demandFits = offered.work <= capacityFactor_ * bestCapacity_ * fleet.totalTargetWeight;
+    if (fleet.congestion < kTargetOverload && demandFits) isShedding_ = false;
     reportChange(wasShedding, fleet, offered);
-    distributeCuts(fleet, offered);
+    updateAdmittedFractions(fleet, offered);
 }
 
-AdmissionController::OfferedLoad AdmissionController::measure(const ProxyRegistry& proxies) const {
+AdmissionController::OfferedLoad AdmissionController::offeredLoad(const ProxyRegistry& proxies) const {
     OfferedLoad offered{.requestRates = demandByClass(proxies, requestClasses_.size())};
     for (std::size_t requestClass = 0; requestClass < requestClasses_.size(); ++requestClass) {
         const double rate = offered.requestRates[requestClass];
@@ -122,20 +126,20 @@
 
 bool AdmissionController::mustStartShedding(const FleetPerformance& fleet, const OfferedLoad& offered) const {
     if (isShedding_ || !reportsCoverDemand_) return false;
-    const bool demandJumped = offered.work > kDemandJump * bestCapacity_ * fleet.totalTargetWeight;
-    return fleet.congestion > kSheddingCongestion || (fleet.congestion > kTargetOverload && demandJumped);
+    const bool demandSurged = offered.work > kDemandSurgeRatio * bestCapacity_ * fleet.totalTargetWeight;
+    return fleet.congestion > kSheddingCongestion || (fleet.congestion > kTargetOverload && demandSurged);
 }
 
 void AdmissionController::startShedding(const FleetPerformance& fleet, const OfferedLoad& offered) {
     const double demandRatio = offered.work / (bestCapacity_ * fleet.totalTargetWeight);
     capacityFactor_ = kInitialCapacityFactor * std::min(1.0, demandRatio);
-    settlingTime_ = kSettlingTime;
+    remainingSettlingTime_ = kSettlingTime;
     isShedding_ = true;
 }
 
 void AdmissionController::adjustCapacityFactor(double congestion) {
-    settlingTime_ -= reportInterval_;
-    if (settlingTime_ > 0us) return;
+    remainingSettlingTime_ -= reportInterval_;
+    if (remainingSettlingTime_ > 0us) return;
     const double change = std::clamp(kCapacityFactorGain * (kTargetOverload - congestion),
                                      -kMaxFactorDecrease, kMaxFactorIncrease);
     capacityFactor_ = std::clamp(capacityFactor_ + seconds(reportInterval_) * change, kMinCapacityFactor,
@@ -151,39 +155,39 @@
         sink_.report(LoadSheddingStopped{offered.work, bestCapacity, fleet.congestion});
 }
 
-/// Takes the work above the capacity from the request classes, in the order in which they give way.
-void AdmissionController::distributeCuts(const FleetPerformance& fleet, const OfferedLoad& offered) {
+/// While shedding, distributes the work that exceeds the capacity over the request classes in shedding order.
+void AdmissionController::updateAdmittedFractions(const FleetPerformance& fleet, const OfferedLoad& offered) {
     double excess = 0;
     if (isShedding_)
         excess = std::max(0.0, offered.work - capacityFactor_ * bestCapacity_ * fleet.totalTargetWeight);
-    for (const std::size_t requestClass : cutOrder_) {
+    for (const std::size_t requestClass : sheddingOrder_) {
         const double work = offered.requestRates[requestClass] * latencyObjective(requestClass);
-        const double cut = std::min(excess, work * (1 - kMinAdmittedFraction));
-        admittedFractions_[requestClass] = work > 0 ? 1 - cut / work : 1;
-        excess -= cut;
+        const double shedWork = std::min(excess, work * (1 - kMinAdmittedFraction));
+        admittedFractions_[requestClass] = work > 0 ? 1 - shedWork / work : 1;
+        excess -= shedWork;
     }
 }
 
-void AdmissionController::orderAdmission(std::vector<PlannedTable>& tables, const ProxyRegistry& proxies,
-                                         ControlChannel& channel) {
+void AdmissionController::issueAdmissionLimits(std::vector<PlannedTable>& tables,
+                                               const ProxyRegistry& proxies, ControlChannel& channel) {
     for (PlannedTable& table : tables) {
         if (table.subsetOf && table.holderCount == 0) continue;
         for (std::size_t requestClass = 0; requestClass < requestClasses_.size(); ++requestClass) {
             if (!(table.requestClasses >> requestClass & 1U)) continue;
             const double fraction = std::min(1.0, admittedFractions_[requestClass] * table.rateLimitFraction);
             const double limit = limitFor(fraction, requestClass, proxies);
-            double& ordered = table.admission.try_emplace(requestClass, kNeverOrdered).first->second;
-            if (std::abs(limit - ordered) <= kMinAdmissionChange * std::max(limit, ordered)) continue;
+            double& issued = table.admission.try_emplace(requestClass, kNeverIssued).first->second;
+            if (std::abs(limit - issued) <= kMinAdmissionChange * std::max(limit, issued)) continue;
             sink_.setAdmission(table.id, static_cast<RequestClassSet>(1U << requestClass), limit,
                                RetryPolicy::AfterProofOfNoEffect);
-            ordered = limit;
+            issued = limit;
             channel.ledger.chargeTable(table, 1);
         }
     }
 }
 
-/// The limit that admits a fraction of a request class: the fraction itself, or the rate at each proxy at which that
-/// fraction passes in all.
+/// The limit that admits a fraction of a request class: the fraction itself, or with ThrottleMode::Rate the
+/// rate limit that, applied at every proxy, admits that fraction of all their requests.
 double AdmissionController::limitFor(double fraction, std::size_t requestClass,
                                      const ProxyRegistry& proxies) const {
     if (mode_ != ThrottleMode::Rate) return fraction;
--- a/src/planner/admission_control.h
+++ b/src/planner/admission_control.h
@@ -1,11 +1,12 @@
-// Admission control: how much of each request class is admitted, and when proxies retry.
+// Admission control: determines the fraction of each request class that is admitted, and when proxies retry.
 //
-// When the whole fleet is overloaded, no more is admitted than the most work that it has completed, adjusted by the
-// overload that is seen since; the request class with the least priority weight for its latency objective gives way
-// first. That helps against any overload: too many requests, dearer requests, lost endpoints. It does harm where half
-// of the fleet is slow for another reason.
+// While the whole fleet is overloaded, the admitted work is limited to the most work that the fleet has
+// completed, multiplied by a factor that follows the congestion observed since. The request class with the
+// lowest ratio of priority weight to latency objective is shed first. This works against every cause of
+// overload: more requests, more expensive requests, lost endpoints. It does harm if half of the fleet is slow
+// for a reason other than load.
 //
-// Owns the admitted fractions; what was last ordered for a table is in the PlannedTable.
+// Owns the admitted fractions; the limits last issued for a table are in its PlannedTable.
 #pragma once
 
 #include <vector>
@@ -15,16 +16,16 @@
 
 namespace zincstack {
 
-/// What admission control has to know of the fleet in a report interval.
+/// Performance of the fleet in one report interval, as input to admission control.
 struct FleetPerformance {
-    double congestion =
-        0; ///< fraction of the median endpoint's attempts that are late or fail beside late ones
-    double attemptRate = 0; ///< reported attempts per second
-    double successRate = 0; ///< of them, those that succeeded
-    double totalTargetWeight = 0;
+    /// Fraction of the median endpoint's attempts that are late, or that fail while its responses are slow.
+    double congestion = 0;
+    double attemptRate = 0;       ///< reported attempts per second
+    double successRate = 0;       ///< reported successful attempts per second
+    double totalTargetWeight = 0; ///< sum of the target weights of all endpoints
 };
 
-/// Decides which fraction of each request class is admitted and orders it for each table.
+/// Decides which fraction of each request class is admitted and issues the limits for each table.
 class AdmissionController {
 public:
     AdmissionController(RoutingUpdateSink& sink, ThrottleMode mode, Micros reportInterval,
@@ -32,47 +33,48 @@
 
     std::size_t requestClassCount() const { return requestClasses_.size(); }
 
-    /// Mean latency objective in seconds of the requests that proxies receive.
+    /// Mean latency objective of the requests that proxies receive, in seconds.
     double meanLatencyObjective(const ProxyRegistry& proxies) const;
 
     /// Requests per second that are admitted.
     double admittedDemand(const ProxyRegistry& proxies) const;
 
-    /// Begins, adjusts or ends load shedding, once a report interval. Reports the start and the end to the sink.
+    /// Starts, adjusts or stops load shedding; called once per report interval. Reports the start and the
+    /// stop to the sink.
     void updateForOverload(const FleetPerformance& fleet, const ProxyRegistry& proxies);
 
-    /// Orders the admission limits that have changed by more than a small part.
-    void orderAdmission(std::vector<PlannedTable>& tables, const ProxyRegistry& proxies,
-                        ControlChannel& channel);
+    /// Issues the admission limits that differ from those last issued by more than a small relative change.
+    void issueAdmissionLimits(std::vector<PlannedTable>& tables, const ProxyRegistry& proxies,
+                              ControlChannel& channel);
 
 private:
-    /// What proxies receive: work is requests per second times their latency objective.
+    /// Load that proxies receive. Work is requests per second times their latency objective.
     struct OfferedLoad {
-        std::vector<double> requestRates; ///< by request class
-        double admittedRate = 0;
+        std::vector<double> requestRates; ///< requests per second, by request class
+        double admittedRate = 0;          ///< admitted requests per second
         double admittedWork = 0;
         double work = 0;
     };
-    OfferedLoad measure(const ProxyRegistry& proxies) const;
+    OfferedLoad offeredLoad(const ProxyRegistry& proxies) const;
     double latencyObjective(std::size_t requestClass) const;
     bool mustStartShedding(const FleetPerformance& fleet, const OfferedLoad& offered) const;
     void startShedding(const FleetPerformance& fleet, const OfferedLoad& offered);
     void adjustCapacityFactor(double congestion);
     void reportChange(bool wasShedding, const FleetPerformance& fleet, const OfferedLoad& offered);
-    void distributeCuts(const FleetPerformance& fleet, const OfferedLoad& offered);
+    void updateAdmittedFractions(const FleetPerformance& fleet, const OfferedLoad& offered);
     double limitFor(double fraction, std::size_t requestClass, const ProxyRegistry& proxies) const;
 
     RoutingUpdateSink& sink_;
     const ThrottleMode mode_;
     const Micros reportInterval_;
     const std::vector<RequestClassConfig> requestClasses_;
-    std::vector<std::size_t> cutOrder_;     ///< request classes, that which gives way first in front
-    std::vector<double> admittedFractions_; ///< by request class
+    std::vector<std::size_t> sheddingOrder_; ///< request classes, the one that is shed first at the front
+    std::vector<double> admittedFractions_;  ///< by request class
     bool isShedding_ = false;
-    bool reportsCoverDemand_ = false; ///< reports have told of nearly all that is admitted
-    Micros settlingTime_{};           ///< the capacity factor stays until this has passed
-    double capacityFactor_ = 1;       ///< what is admitted, as a fraction of the best capacity
-    double bestCapacity_ = 0;         ///< most work completed per second and unit of weight, slowly decaying
+    bool reportsCoverDemand_ = false; ///< load reports have once covered most of the admitted requests
+    Micros remainingSettlingTime_{};  ///< the capacity factor is not adjusted before this has elapsed
+    double capacityFactor_ = 1;       ///< admitted work as a fraction of the best capacity
+    double bestCapacity_ = 0;         ///< most work completed per unit of target weight; decays slowly
 };
 
 } // namespace zincstack
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -1,15 +1,16 @@
-// The planner: keeps what its inputs say, and closes each batch with the steps of decide(). Each step is a
-// module of its own; this file only wires them and gives their order.
+// The planner: stores its inputs and closes each batch with the steps of decide(). Each step is a separate
+// module; this file only connects them and defines their order.
 //
 //   endpoint_registry, proxy_registry, routing_tables   state
-//   health_monitor          ejects or slows endpoints that fail, readmits them, advances slow start
+//   health_monitor          ejects failing endpoints, reduces the weight of slow ones, readmits them, and
+//                           advances slow start
 //   admission_control       sheds load by priority while the whole fleet is overloaded
-//   control_channel         how much may be ordered now
-//   urgent_updates          what waits for no round
-//   table_assignment        which tables the proxies hold
-//   update_scheduler        consistent updates in rounds (docs/design.md)
+//   control_channel         limits how much may be issued now
+//   urgent_updates          issues the updates that do not wait for a round
+//   table_assignment        assigns tables to proxies
+//   update_scheduler        issues consistent updates in rounds (docs/design.md)
 //
-// A planner starts without memory: it assigns tables to all proxies anew, the busiest first.
+// A planner starts without stored state: it assigns new tables to all proxies, the busiest first.
 #include "planner/planner.h"
 
 #include <algorithm>
@@ -29,20 +30,22 @@
 
 using namespace std::chrono_literals;
 
-/// A planner without inputs decides this often, since windows, slow start and probes go by time.
+/// Wake-up interval without inputs: gathering windows, slow start and health checks progress with time.
 constexpr Micros kIdleInterval = 100ms;
-/// Weight that a proxy's demand rate keeps after a second, in its exponential average over demand reports.
+/// Factor per second by which older values decay in the exponential moving average of a proxy's demand.
 constexpr double kDemandDecay = 0.3;
-/// Part of a batch's budget that joining proxies may take before the rounds: the other half is left to these.
+/// Fraction of a batch's budget that joining proxies may use before the rounds; the rest is left to the
+/// rounds.
 constexpr double kJoinBudgetFraction = 0.5;
 
 Micros shortestLatencyObjective(const std::vector<RequestClassConfig>& requestClasses) {
     return std::ranges::min(requestClasses, {}, &RequestClassConfig::latencyObjective).latencyObjective;
 }
 
-class CoeusPlanner final : public Planner {
+/// Connects the modules of the planner.
+class PlannerImpl final : public Planner {
 public:
-    CoeusPlanner(const PlannerConfig& config, RoutingUpdateSink& sink)
+    PlannerImpl(const PlannerConfig& config, RoutingUpdateSink& sink)
         : sink_(sink), sharded_(config.fleet.sharded), drainGracePeriod_(config.safety.drainGracePeriod),
           mustSubscribe_(config.fleet.mustSubscribeToEndpoints),
           health_(endpoints_, sink, config.fleet, config.safety,
@@ -80,10 +83,10 @@
     void subscribeToEndpoints();
     void evaluateReports();
     void advanceSlowStart();
-    void orderOrdinaryUpdates();
+    void issueOrdinaryUpdates();
     void closeBatch();
 
-    bool isSomeZoneDepleted() const;
+    bool isAnyZoneDepleted() const;
 
     RoutingUpdateSink& sink_;
     const bool sharded_;
@@ -102,7 +105,7 @@
     UpdateScheduler scheduler_;
 };
 
-void CoeusPlanner::updateEndpoints(EndpointListUpdate kind, std::span<const EndpointUpdate> entries) {
+void PlannerImpl::updateEndpoints(EndpointListUpdate kind, std::span<const EndpointUpdate> entries) {
     if (kind == EndpointListUpdate::PollFailed) {
         mustSubscribe_ = true;
         return;
@@ -111,7 +114,7 @@
     health_.updateEndpoints(isComplete, entries, now_);
 }
 
-void CoeusPlanner::proxyJoined(ProxyId id, ZoneId zone, double expectedRate, bool hasOnlyBootstrapTable) {
+void PlannerImpl::proxyJoined(ProxyId id, ZoneId zone, double expectedRate, bool hasOnlyBootstrapTable) {
     proxyLeft(id);
     const EndpointIndex classCount = admission_.requestClassCount();
     proxies_[id] = {
@@ -122,7 +125,7 @@
     };
 }
 
-void CoeusPlanner::reportDemand(const DemandReport& report) {
+void PlannerImpl::reportDemand(const DemandReport& report) {
     const auto found = proxies_.find(report.proxy);
     if (found == proxies_.end() || report.interval <= 0us) return;
     if (report.requestClass.value >= admission_.requestClassCount()) return;
@@ -131,7 +134,7 @@
     rate = reportedRate + std::pow(kDemandDecay, seconds(report.interval)) * (rate - reportedRate);
 }
 
-void CoeusPlanner::decide() {
+void PlannerImpl::decide() {
     if (sharded_) return;
     scheduleWakeUp();
     subscribeToEndpoints();
@@ -144,30 +147,30 @@
     routing_.beginBatch(proxies_, now_);
     const bool channelIsIdle = channel_.spareLines(kIdleBudget) > 0;
     const double joinBudget = kJoinBudgetFraction * channel_.spareLines(kBatchBudget);
-    // A sink that measures the channel holds back by itself what does not fit.
-    const bool mayOrder = joinBudget > 0 || channel_.isMetered();
+    // A sink that measures the channel defers by itself the updates that do not fit.
+    const bool mayIssue = joinBudget > 0 || channel_.isMetered();
 
-    if (mayOrder) urgentUpdates_.order(channelIsIdle, now_);
-    // In a depleted zone inherited tables run out of endpoints: urgent updates must not take the whole
-    // channel.
-    if (joinBudget > 0 && (channelIsIdle || isSomeZoneDepleted())) assignment_.assignFullTables(joinBudget);
+    if (mayIssue) urgentUpdates_.order(channelIsIdle, now_);
+    // In a depleted zone, inherited tables run out of endpoints: urgent updates must not use up the channel.
+    if (joinBudget > 0 && (channelIsIdle || isAnyZoneDepleted())) assignment_.assignFullTables(joinBudget);
     if (channel_.isMetered()) assignment_.assignSubsetTables(now_);
-    if (mayOrder) urgentUpdates_.repeatExclusions(channelIsIdle, now_);
-    if (channelIsIdle) orderOrdinaryUpdates();
+    if (mayIssue) urgentUpdates_.repeatExclusions(channelIsIdle, now_);
+    if (channelIsIdle) issueOrdinaryUpdates();
     closeBatch();
 }
 
-void CoeusPlanner::scheduleWakeUp() {
+void PlannerImpl::scheduleWakeUp() {
     if (!wakeUpScheduled_) sink_.scheduleWakeUp(kIdleInterval);
     wakeUpScheduled_ = true;
 }
 
-void CoeusPlanner::subscribeToEndpoints() {
+void PlannerImpl::subscribeToEndpoints() {
     if (std::exchange(mustSubscribe_, false)) sink_.subscribeToEndpoints();
 }
 
-/// Updates the endpoints' health from the load reports, and the admission from the overload that they show.
-void CoeusPlanner::evaluateReports() {
+/// Updates the endpoints' health from the load reports, and the admission limits from the resulting
+/// congestion.
+void PlannerImpl::evaluateReports() {
     const auto congestion = health_.evaluateReports(admission_.meanLatencyObjective(proxies_), now_);
     if (!congestion) return;
     admission_.updateForOverload({.congestion = *congestion,
@@ -177,25 +180,26 @@
                                  proxies_);
 }
 
-void CoeusPlanner::advanceSlowStart() {
+void PlannerImpl::advanceSlowStart() {
     health_.advanceSlowStart(admission_.admittedDemand(proxies_), scheduler_.mayChangeTargets(now_), now_);
 }
 
-/// What can wait until the channel is idle: the rounds first, then admission, then joining proxies.
-void CoeusPlanner::orderOrdinaryUpdates() {
+/// Issues the updates that can wait until the channel is idle, in order of precedence: the operations of the
+/// round, admission limits, full tables for joining proxies, and readmissions of stale exclusions.
+void PlannerImpl::issueOrdinaryUpdates() {
     scheduler_.advance(now_);
-    admission_.orderAdmission(routing_.tables, proxies_, channel_);
+    admission_.issueAdmissionLimits(routing_.tables, proxies_, channel_);
     if (assignment_.mayAssignFullTables(drainGracePeriod_, now_))
         assignment_.assignFullTables(channel_.spareLines(kBatchBudget));
     if (channel_.spareLines(kIdleBudget) > 0) assignment_.clearStaleExclusions();
 }
 
-void CoeusPlanner::closeBatch() {
+void PlannerImpl::closeBatch() {
     const auto barrier = channel_.closeBatch(now_);
     scheduler_.batchClosed(barrier, now_);
 }
 
-bool CoeusPlanner::isSomeZoneDepleted() const {
+bool PlannerImpl::isAnyZoneDepleted() const {
     return std::ranges::any_of(
         routing_.tables, [this](const PlannedTable& table) { return isDepleted(endpoints_, table.zone); });
 }
@@ -203,7 +207,7 @@
 } // namespace
 
 std::unique_ptr<Planner> makePlanner(const PlannerConfig& config, RoutingUpdateSink& sink) {
-    return std::make_unique<CoeusPlanner>(config, sink);
+    return std::make_unique<PlannerImpl>(config, sink);
 }
 
 } // namespace zincstack
--- a/tests/admission_control_test.cpp
+++ b/tests/admission_control_test.cpp
@@ -1,4 +1,4 @@
-// Admission control: what is cut when the whole fleet is overloaded, and when nothing may be.
+// Admission control: which requests are shed when the whole fleet is overloaded, and when none may be shed.
 #include <gtest/gtest.h>
 
 #include "settled_model.h"
@@ -6,7 +6,7 @@
 namespace zincstack::tests {
 namespace {
 
-TEST(AdmissionControl, TheLeastPriorityForItsLatencyObjectiveIsCutFirstAndComesBack) {
+TEST(AdmissionControl, ShedsTheClassOfLeastPriorityPerLatencyObjectiveFirstAndRestoresIt) {
     const auto model = settledModel(6);
     for (int second = 0; second < 2; ++second) {
         model->reportLoad(20, [](auto) { return 0.8; });
@@ -19,8 +19,9 @@
     EXPECT_DOUBLE_EQ(model->admissionLimits.back().second, 1);
 }
 
-/// After a restart the first reports told of few proxies; limits held to that for the rest of the day.
-TEST(AdmissionControl, NothingIsLimitedWhileReportsCoverFewOfTheRequests) {
+/// Guards against load shedding by an underestimated capacity: after a restart of the planner the first load
+/// reports covered few proxies, and admission stayed limited to that capacity for the rest of the day.
+TEST(AdmissionControl, ShedsNothingWhileLoadReportsCoverFewRequests) {
     ProxyModel model;
     for (std::uint64_t id = 1; id <= 6; ++id) model.addEndpoint(id);
     model.start();
@@ -39,7 +40,8 @@
     EXPECT_LT(model.admissionLimits.back().second, 1);
 }
 
-TEST(AdmissionControl, LostAnswersBesideQuickOnesLimitNothing) {
+/// Failures without slow responses are no sign of overload, and shedding load would not reduce them.
+TEST(AdmissionControl, ShedsNothingForFailuresWithoutSlowResponses) {
     const auto model = settledModel(6);
     for (int second = 0; second < 4; ++second) {
         model->reportLoad(20, [](auto) { return 0.4; });
