--- a/src/planner/channel_credit.cpp
+++ b/src/planner/channel_credit.cpp
@@ -1,3 +1,4 @@
+// Credit accounting for streams, messages and their acknowledgements.
 #include "planner/channel_credit.h"
 
 #include <algorithm>
@@ -10,14 +11,15 @@
 
 using namespace std::chrono_literals;
 
-/// Unacknowledged messages to one proxy, at most.
-constexpr std::size_t kMaxUnacknowledged = 1024;
-/// The same while the proxy stalls: what is not written merges with later updates.
-constexpr std::size_t kMaxUnacknowledgedWhileStalled = 4;
-/// Beyond the worst transit there and back, before a proxy that owes an acknowledgement counts as stalled.
+/// Maximum number of unacknowledged messages per proxy.
+constexpr std::size_t kMaxUnacknowledgedMessages = 1024;
+/// The same while the proxy is stalled. Updates that are not written yet merge with later ones.
+constexpr std::size_t kMaxUnacknowledgedMessagesWhileStalled = 4;
+/// Acknowledgement lag beyond the worst-case round trip after which a proxy counts as stalled.
 constexpr Micros kAckSlack = 1s;
-/// Overdue for so long: the stream counts as dead.
+/// Acknowledgement lag after which a stream counts as silent.
 constexpr Micros kSilenceTimeout = 10s;
+/// Minimum time between two checks for silent streams.
 constexpr Micros kSilenceCheckInterval = 1s;
 
 } // namespace
@@ -30,25 +32,27 @@
     const double fraction = urgency == Urgency::Deadline ? kDeadlineQueueFraction : kOrdinaryQueueFraction;
     const double linesAfter = unacknowledgedLines_ + otherTransportLines + lines;
     if (linesAfter <= fraction * limits_.maxQueuedLines) return Admission::Granted;
-    // The queue may be full of what ended streams were written, and only the acknowledgement of a later
-    // message proves that this has left. So one message at a time may use the reserve; also one that is too
-    // large otherwise.
+    // The queue may be full of lines written to ended streams, and only the acknowledgement of a later
+    // message proves that they have left it. Therefore one message at a time may use the reserve, even a
+    // message that exceeds the fraction by itself.
     const bool mayUseReserve = awaitedMessages_ == 0 && linesAfter <= limits_.maxQueuedLines;
     return mayUseReserve ? Admission::Granted : Admission::QueueFull;
 }
 
-/// A proxy is written no more messages within the window than the limits allow, and few while it stalls.
+/// Whether the proxy has reached its limit of messages within the window or of unacknowledged messages. A
+/// stalled proxy gets only messages with a deadline, and few of them.
 bool ChannelCredit::mustWait(const Stream& stream, Urgency urgency, Micros now) const {
     const auto recentMessages = std::ranges::count_if(
         stream.writeTimes, [&](Micros writtenAt) { return now - writtenAt <= limits_.messageWindow; });
     const auto maxMessages = static_cast<std::ptrdiff_t>(limits_.maxMessagesPerProxy);
     if (maxMessages > 0 && recentMessages >= maxMessages) return true;
-    const bool isStalled = overdue(stream) > 2 * limits_.worstTransitTime + kAckSlack;
-    if (!isStalled) return stream.unacknowledged.size() >= kMaxUnacknowledged;
-    return urgency != Urgency::Deadline || stream.unacknowledged.size() >= kMaxUnacknowledgedWhileStalled;
+    const bool isStalled = acknowledgementLag(stream) > 2 * limits_.worstTransitTime + kAckSlack;
+    if (!isStalled) return stream.unacknowledged.size() >= kMaxUnacknowledgedMessages;
+    return urgency != Urgency::Deadline ||
+           stream.unacknowledged.size() >= kMaxUnacknowledgedMessagesWhileStalled;
 }
 
-Micros ChannelCredit::overdue(const Stream& stream) const {
+Micros ChannelCredit::acknowledgementLag(const Stream& stream) const {
     if (stream.unacknowledged.empty()) return Micros{};
     return std::max(newestAcknowledgedWrite_ - stream.unacknowledged.front().writtenAt, Micros{});
 }
@@ -65,7 +69,8 @@
     streams_.erase(found);
 }
 
-/// Its acknowledgements are not awaited any more, but its messages may still be in the channel.
+/// Stops awaiting the stream's acknowledgements. Its messages may still be in the channel, so their lines
+/// count until a later message is acknowledged.
 void ChannelCredit::moveToEnded(Stream& stream) {
     double lines = 0;
     for (Message& message : stream.unacknowledged) {
@@ -80,7 +85,7 @@
     if (now - silenceCheckedAt_ < kSilenceCheckInterval) return;
     silenceCheckedAt_ = now;
     for (auto& [proxy, stream] : streams_)
-        if (overdue(stream) > kSilenceTimeout) moveToEnded(stream);
+        if (acknowledgementLag(stream) > kSilenceTimeout) moveToEnded(stream);
 }
 
 void ChannelCredit::messageWritten(ProxyId proxy, BarrierId barrier, double lines, Micros now) {
@@ -109,9 +114,9 @@
         --awaitedMessages_;
     }
     messages.erase(messages.begin(), found + 1);
-    // The channel is a queue: what entered it before this message has left it too. That is known only of
-    // streams that had ended when it was written; bytes of an open one may still be on their way to the
-    // channel.
+    // The channel is a FIFO queue: whatever entered it before this message has left it too. This is certain
+    // only for streams that had ended when the message was written; bytes of an open stream may not have
+    // entered the channel yet.
     while (!ended_.empty() && ended_.front().firstLaterSequence <= newest.sequence) {
         returnCredit(ended_.front().lines);
         ended_.pop_front();
--- a/src/planner/channel_credit.h
+++ b/src/planner/channel_credit.h
@@ -1,10 +1,10 @@
-// The exact account of a planner's control channel: which lines have been written and may still be in it, and
-// whether one more message may be written. Credit-based flow control, as in HTTP/2: a message is charged as
-// encoded when its bytes are handed to a stream, and only an acknowledgement gives its credit back; no
-// estimate and no time-out does.
+// Exact accounting of a planner's control channel: counts the lines that have been written and may still be
+// in it, and decides whether another message may be written. This is credit-based flow control, as in
+// HTTP/2: a message is charged at its encoded size when its bytes are handed to a stream, and only an
+// acknowledgement returns its credit, never an estimate or a time-out.
 //
-// No I/O, and deterministic: the caller hands in the clock. Lines include the overhead of messages. Owns what
-// it is told of streams and messages.
+// No I/O, and deterministic: the caller passes in the time. Line counts include the overhead of messages.
+// Owns the state of the streams and of the unacknowledged messages.
 #pragma once
 
 #include <cstddef>
@@ -18,43 +18,45 @@
 
 /// How much of the channel's queue a message may fill.
 enum class Urgency : std::uint8_t {
-    Deadline, ///< a limit of SafetyLimits runs: exclusions, and the first table of a proxy that joined
-    Ordinary, ///< all else
+    Deadline, ///< subject to a time limit in SafetyLimits: exclusions and the first table of a joined proxy
+    Ordinary, ///< all other messages
 };
 
-/// Part of ControlChannelLimits::maxQueuedLines that messages with a deadline may fill. The rest is a
+/// Fraction of ControlChannelLimits::maxQueuedLines that messages with a deadline may fill. The rest is a
 /// reserve, see ChannelCredit::check().
 inline constexpr double kDeadlineQueueFraction = 0.95;
-/// The same for all other messages: the queue stays short for those with a deadline. The planner and the
-/// pub-sub channel pace themselves by the same part.
+/// The same for all other messages, which keeps the queue short for those with a deadline. The planner and
+/// the pub-sub channel pace themselves by the same fraction.
 inline constexpr double kOrdinaryQueueFraction = 0.5;
 
+/// Flow control for the messages of one planner to all its proxies.
 class ChannelCredit {
 public:
-    /// Limits with a maxQueuedLines of 0 admit everything.
+    /// A maxQueuedLines of 0 disables the limit of the queue.
     explicit ChannelCredit(const ControlChannelLimits& limits) : limits_(limits) {}
 
     enum class Admission : std::uint8_t {
         Granted,
-        ProxyBlocked, ///< this proxy was sent too many messages, or owes acknowledgements for too long
-        QueueFull,    ///< no message of that size and urgency may be written to any proxy
+        ProxyBlocked, ///< no session, too many messages to this proxy, or its acknowledgements are overdue
+        QueueFull,    ///< no message of this size and urgency may be written to any proxy
     };
-    /// Whether a message of so many lines may be written to the proxy now. `otherTransportLines`: lines on
-    /// channels of other transports that count against the same limit.
+    /// Whether a message of `lines` lines may be written to the proxy now. `otherTransportLines`: lines on
+    /// the channels of other transports, which count against the same limit. While no acknowledgement is
+    /// awaited, one message may use the whole queue, including the reserve.
     Admission check(ProxyId proxy, double lines, Urgency urgency, double otherTransportLines,
                     Micros now) const;
 
     void sessionOpened(ProxyId proxy);
-    /// What was written to the stream may still be in the channel: it counts until a message that was written
-    /// after the end is acknowledged.
+    /// Lines that were written to the session's stream may still be in the channel: they count until a
+    /// message written after the end of the session is acknowledged.
     void sessionEnded(ProxyId proxy);
-    /// A message that ends with the barrier has been handed to the proxy's stream.
+    /// Charges a message, closed by the barrier, that has been handed to the proxy's stream.
     void messageWritten(ProxyId proxy, BarrierId barrier, double lines, Micros now);
-    /// That message has left the channel, and so has each one written to the proxy before it. False if the
-    /// proxy owes no acknowledgement of the barrier.
+    /// Returns the credit of the message and of all messages written to the proxy before it. Returns false if
+    /// no acknowledgement of the barrier was expected from the proxy.
     bool acknowledged(ProxyId proxy, BarrierId barrier);
-    /// Treats what was written to silent streams like that of ended ones. Does nothing within a second of the
-    /// last call that did.
+    /// Treats the lines written to silent streams like those of ended streams. The check runs at most once
+    /// per second; further calls have no effect.
     void detectSilentSessions(Micros now);
 
     /// Lines that may still be in the channel.
@@ -66,20 +68,21 @@
         BarrierId barrier;
         double lines;
         Micros writtenAt;
-        bool isAwaited = true; // false: its stream is silent, and its lines are among those of ended ones
+        bool isAwaited = true; // false: its stream is silent, its lines are counted in `ended_`
     };
     struct Stream {
         std::deque<Message> unacknowledged; // oldest first
         std::deque<Micros> writeTimes;      // within the last messageWindow
     };
-    /// What an ended or silent stream was written and did not acknowledge.
+    /// Lines that were written to an ended or silent stream and not acknowledged.
     struct EndedStream {
-        std::uint64_t firstLaterSequence; // of the first message that is written after the end
+        std::uint64_t firstLaterSequence; // sequence of the first message written after the end
         double lines;
     };
     bool mustWait(const Stream& stream, Urgency urgency, Micros now) const;
-    /// For how long others have acknowledged messages that were written after the oldest that it owes.
-    Micros overdue(const Stream& stream) const;
+    /// Time from the write of the stream's oldest unacknowledged message to the write of the newest message
+    /// that any proxy has acknowledged; zero if no message is unacknowledged.
+    Micros acknowledgementLag(const Stream& stream) const;
     void moveToEnded(Stream& stream);
     void returnCredit(double lines);
 
@@ -90,7 +93,7 @@
     double unacknowledgedLines_ = 0;
     std::size_t awaitedMessages_ = 0;
     Micros silenceCheckedAt_{};
-    Micros newestAcknowledgedWrite_{}; // when the newest message that has been acknowledged was written
+    Micros newestAcknowledgedWrite_{}; // write time of the newest acknowledged message of all streams
 };
 
 } // namespace zincstack
--- a/src/planner/control_channel.cpp
+++ b/src/planner/control_channel.cpp
@@ -1,3 +1,4 @@
+// Pacing of updates by the capacity of the control channel, and numbering of barriers.
 #include "planner/control_channel.h"
 
 #include <algorithm>
@@ -6,7 +7,7 @@
 
 namespace {
 
-/// Barriers are numbered from 1 to this, then from 1 again.
+/// Highest barrier number; the numbering starts at 1 and wraps around to 1.
 constexpr std::uint16_t kMaxBarrier = 65535;
 
 } // namespace
--- a/src/planner/message_ledger.cpp
+++ b/src/planner/message_ledger.cpp
@@ -1,3 +1,4 @@
+// Accounting of staged lines, of batches and of their acknowledgements.
 #include "planner/message_ledger.h"
 
 #include <algorithm>
@@ -10,9 +11,9 @@
 
 using namespace std::chrono_literals;
 
-/// After this a message has left the channel, acknowledged or not.
+/// Age at which a message is assumed to have left the channel, acknowledged or not.
 constexpr Micros kBatchExpiry = 10s;
-/// The same for a batch that nobody is left to acknowledge.
+/// The same for a batch that no proxy still has to acknowledge.
 constexpr Micros kUnawaitedBatchExpiry = 2s;
 
 } // namespace
@@ -42,7 +43,7 @@
     Batch batch{barrier, now, std::exchange(stagedLines_, 0), 0};
     for (auto& [id, proxy] : proxies_) {
         const double lines = std::exchange(proxy.stagedLines, 0);
-        // With an inherited table it may get no message: the sink knows whether that names the endpoint.
+        // A proxy with an inherited table may get no message: only the sink knows what that table contains.
         if (lines <= 0 || proxy.usesInheritedTable()) continue;
         proxy.unacknowledged.push_back({barrier, lines + messageOverheadLines_ + kBarrierLines});
         ++batch.awaitedAcks;
@@ -60,7 +61,7 @@
     const auto last = std::ranges::find(messages, barrier, &UnacknowledgedMessage::barrier);
     if (last == messages.end()) return;
     for (auto message = messages.begin(); message != last + 1; ++message) {
-        Batch* batch = find(message->barrier);
+        Batch* batch = findBatch(message->barrier);
         if (!batch) continue;
         --batch->awaitedAcks;
         batch->lines = batch->awaitedAcks > 0 ? std::max(batch->lines - message->lines, 0.0) : 0;
@@ -72,7 +73,7 @@
     const auto found = proxies_.find(id);
     if (found == proxies_.end()) return;
     for (const UnacknowledgedMessage& message : found->second.unacknowledged)
-        if (Batch* batch = find(message.barrier)) --batch->awaitedAcks;
+        if (Batch* batch = findBatch(message.barrier)) --batch->awaitedAcks;
     proxies_.erase(found);
 }
 
@@ -94,7 +95,7 @@
         batches_, [&](const Batch& batch) { return batch.barrier == *barrier && batch.awaitedAcks > 0; });
 }
 
-MessageLedger::Batch* MessageLedger::find(BarrierId barrier) {
+MessageLedger::Batch* MessageLedger::findBatch(BarrierId barrier) {
     const auto found = std::ranges::find(batches_, barrier, &Batch::barrier);
     return found == batches_.end() ? nullptr : &*found;
 }
--- a/tests/channel_credit_test.cpp
+++ b/tests/channel_credit_test.cpp
@@ -1,4 +1,4 @@
-// The credit of the control channel: what may be written while earlier messages are not acknowledged.
+// Flow control of the control channel: what may be written while earlier messages are unacknowledged.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -37,7 +37,8 @@
 TEST(ChannelCredit, OrdinaryUpdatesLeaveHalfOfTheQueueFree) {
     ChannelCredit credit(kLimits);
     for (const ProxyId proxy : {kFirst, kSecond}) credit.sessionOpened(proxy);
-    // Alone in the queue it must be written some time.
+    // A message larger than the ordinary fraction may be written while no acknowledgement is awaited;
+    // otherwise it could never be written.
     EXPECT_EQ(credit.check(kFirst, 501, Urgency::Ordinary, 0, 1s), Admission::Granted);
     credit.messageWritten(kSecond, {1}, 100, 1s);
     EXPECT_EQ(credit.check(kFirst, 401, Urgency::Ordinary, 0, 1s), Admission::QueueFull);
@@ -51,13 +52,14 @@
 TEST(ChannelCredit, LinesOfAnEndedSessionCountUntilALaterMessageIsAcknowledged) {
     ChannelCredit credit(kLimits);
     for (const ProxyId proxy : {kFirst, kSecond}) credit.sessionOpened(proxy);
-    // Written before the end: its acknowledgement proves nothing about later lines.
+    // This message is written before the session ends, so its acknowledgement does not prove that the lines
+    // of the ended session have left the channel.
     credit.messageWritten(kSecond, {1}, 10, 1s);
     credit.messageWritten(kFirst, {1}, 900, 1s);
     credit.sessionEnded(kFirst);
     EXPECT_TRUE(credit.acknowledged(kSecond, {1}));
     EXPECT_EQ(credit.unacknowledgedLines(), 900);
-    // From the reserve, since no one else is left whose acknowledgement could return credit.
+    // Granted from the reserve: no other message is awaited whose acknowledgement could return credit.
     EXPECT_EQ(checkUrgent(credit, kSecond, 100), Admission::Granted);
     credit.messageWritten(kSecond, {2}, 100, 2s);
     EXPECT_EQ(checkUrgent(credit, kSecond, 1), Admission::QueueFull);
@@ -65,7 +67,7 @@
     EXPECT_EQ(credit.unacknowledgedLines(), 0);
 }
 
-TEST(ChannelCredit, LimitsAnUnresponsiveProxyAndReleasesASilentOne) {
+TEST(ChannelCredit, LimitsAStalledProxyAndReturnsTheCreditOfASilentOne) {
     ChannelCredit credit(kLimits);
     for (const ProxyId proxy : {kFirst, kSecond}) credit.sessionOpened(proxy);
     credit.messageWritten(kFirst, {1}, 300, 1s);
@@ -81,7 +83,7 @@
         }
     }
     EXPECT_EQ(credit.unacknowledgedLines(), 0);
-    EXPECT_TRUE(credit.acknowledged(kFirst, {1})); // late, but acknowledged
+    EXPECT_TRUE(credit.acknowledged(kFirst, {1})); // a late acknowledgement is accepted
     EXPECT_EQ(credit.unacknowledgedLines(), 0);
 }
 
@@ -99,9 +101,9 @@
     EXPECT_EQ(checkUrgent(credit, kFirst, 1, 11s + 1us), Admission::Granted);
 }
 
-/// In any order of sessions, messages and acknowledgements, a FIFO channel of any speed holds no more lines than are
-/// counted, and no more than the limit.
-RC_GTEST_PROP(ChannelCredit, IsNeverBelowWhatTheChannelHolds, ()) {
+/// For any order of sessions, messages and acknowledgements, a FIFO channel of any speed contains at most as
+/// many lines as are counted, and never more than the limit.
+RC_GTEST_PROP(ChannelCredit, NeverUndercountsTheLinesInTheChannel, ()) {
     ChannelCredit credit(kLimits);
     struct Message {
         ProxyId proxy;
@@ -127,7 +129,7 @@
             credit.sessionEnded(proxy);
             openSessions.erase(proxy);
         } else if (step < 5 && !channel.empty()) {
-            // The first arrives. Its proxy may acknowledge it if the session is still open.
+            // The first message arrives. Its proxy may acknowledge it if the session is still open.
             const Message first = channel.front();
             channel.pop_front();
             linesInChannel -= first.lines;
--- a/tests/control_channel_test.cpp
+++ b/tests/control_channel_test.cpp
@@ -1,4 +1,5 @@
-// The control channel: which joining proxies get their tables first, and which tables they get.
+// Assignment of tables over the control channel: which joining proxies get theirs first, and which tables
+// these are.
 #include <gtest/gtest.h>
 
 #include "settled_model.h"
