--- a/src/planner/channel_credit.h
+++ b/src/planner/channel_credit.h
@@ -52,8 +52,9 @@
     void sessionEnded(ProxyId proxy);
     /// Charges a message, closed by the barrier, that has been handed to the proxy's stream.
     void messageWritten(ProxyId proxy, BarrierId barrier, double lines, Micros now);
-    /// Returns the credit of the message and of all messages written to the proxy before it. Returns false if
-    /// no acknowledgement of the barrier was expected from the proxy.
+    /// Returns the credit of the message and of all messages written to the proxy before it, except of
+    /// those whose stream was found silent in the meantime: theirs returns like that of ended streams.
+    /// Returns false if the proxy has no unacknowledged message with this barrier.
     bool acknowledged(ProxyId proxy, BarrierId barrier);
     /// Treats the lines written to silent streams like those of ended streams. The check runs at most once
     /// per second; further calls have no effect.
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -78,7 +78,7 @@
     void decide() override;
 
 private:
-    // -- steps of decide(), in their order; the others are calls of the modules --
+    // -- steps of decide(), in their order; the other steps are calls to the modules --
     void scheduleWakeUp();
     void subscribeToEndpoints();
     void evaluateReports();
