--- a/src/discovery/discovery_driver.cpp
+++ b/src/discovery/discovery_driver.cpp
@@ -19,9 +19,9 @@
 using namespace std::chrono_literals;
 
 constexpr Micros kConnectTimeout = 1s;
-constexpr Micros kMinBackoff = 50ms; // between connections that bring no usable response
+constexpr Micros kMinBackoff = 50ms; // between connections that yield no usable response
 constexpr Micros kMaxBackoff = 1s;
-constexpr Micros kMinRequestInterval = 20ms; // where discovery answers every poll at once
+constexpr Micros kMinRequestInterval = 20ms; // limits the rate if discovery answers each poll immediately
 
 } // namespace
 
@@ -60,8 +60,9 @@
     }
 }
 
-/// One connection, for as long as it is of use. After each suspension the address may have changed; then nothing that
-/// arrived may be fed to the watch, which is to hear of the new address only.
+/// Serves one connection until it fails, becomes unusable or the address changes. The address can change
+/// during each suspension of the coroutine. Bytes received from the old address must then not be passed to
+/// the watch, which already expects responses from the new address.
 asio::awaitable<void> DiscoveryDriver::serveConnection() {
     const auto addressChangesBefore = addressChanges_;
     const auto addressChanged = [&] { return addressChanges_ != addressChangesBefore; };
--- a/src/discovery/discovery_driver.h
+++ b/src/discovery/discovery_driver.h
@@ -1,4 +1,5 @@
-// Connects to discovery and carries the requests and responses of a DiscoveryWatch.
+// The TCP connection to discovery: sends the requests of a DiscoveryWatch and passes the received bytes back
+// to it.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,14 +16,15 @@
 
 namespace zincstack::net {
 
-/// Owns the connection. Reconnects when it ends or when a response is late, with exponential backoff while no
-/// connection brings a usable response.
+/// Owns the connection. Reconnects when the connection ends or a response times out, with exponential backoff
+/// while connections yield no usable response.
 class DiscoveryDriver {
 public:
     DiscoveryDriver(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
                     DiscoveryWatch& watch, BufferPool& pool);
     void start();
-    /// Drops the old address at once, whatever goes on there.
+    /// Switches to another address and closes the current connection immediately, even if a response is
+    /// pending. Has no effect if the address is unchanged. `host` is the value of the Host header.
     void move(boost::asio::ip::tcp::endpoint address, std::string host);
 
 private:
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -10,11 +10,13 @@
 
 using namespace std::chrono_literals;
 
-// An endpoint that the planner does not hear of counts as reported 6 s later. With these limits a dead watch is given
-// up, and the next request answered, before that.
-constexpr Micros kWatchDuration = 2s;        // for which discovery is asked to hold a request without news
-constexpr Micros kMaxResponseDelay = 1500ms; // beyond that
-constexpr int kMaxOlderResponses = 10;       // in a row; by then discovery must have begun to count anew
+// A change to an endpoint counts as reported to the planner after 6 s, even if the planner has not received
+// it. These limits ensure that within this time a dead watch is given up and the next request is answered.
+constexpr Micros kWatchDuration = 2s;        // for which discovery holds a watch request if nothing changes
+constexpr Micros kMaxResponseDelay = 1500ms; // after that, or after the request for a snapshot
+
+// This many consecutive responses with an older revision mean that discovery has restarted its numbering.
+constexpr int kMaxOlderResponses = 10;
 
 constexpr int kStatusOk = 200;
 
@@ -66,7 +68,6 @@
     return kMaxResponseDelay + (state_ == State::Watching ? kWatchDuration : 0s);
 }
 
-/// Makes the transition of the input; the request that its effect asks for.
 std::string DiscoveryWatch::step(Input input) {
     const auto transition = std::ranges::find_if(kTransitions, [&](const Transition& one) {
         return (one.state == state_ || one.state == State::Any) && one.input == input;
@@ -84,7 +85,7 @@
     case Effect::Disconnect: return {};
     case Effect::DisconnectAndForgetRevision:
         revision_.reset();
-        counters_.recordIgnored(Counter::ListsFailed, "an answer of discovery that can't be used");
+        counters_.recordIgnored(Counter::ListsFailed, "unusable response from discovery");
         return {};
     case Effect::ForgetRevision: revision_.reset(); return {};
     }
@@ -111,16 +112,17 @@
     }
 }
 
-/// A revision older than the known one is not applied: an endpoint that is draining by now would count as ready.
+/// Ignores a revision older than the last accepted one, since it could list an endpoint as ready that is
+/// draining by now. If discovery has restarted its numbering, only a snapshot is accepted.
 DiscoveryWatch::Input DiscoveryWatch::handleList(const EndpointList& list) {
     const auto revisionNumber = list.revision.get<double>();
     if (revision_ && revisionNumber < revisionNumber_ && ++olderResponses_ < kMaxOlderResponses) {
-        counters_.recordIgnored(Counter::ListsFailed,
-                                "version " + list.revision.dump() + " after " + *revision_);
+        counters_.recordIgnored(Counter::ListsFailed, "revision " + list.revision.dump() +
+                                                          " of the list is older than " + *revision_);
         return Input::OlderRevision;
     }
     const bool countsAnew = std::exchange(olderResponses_, 0) >= kMaxOlderResponses;
-    if (countsAnew && !list.complete) return Input::UnusableResponse; // a delta to a list that is not known
+    if (countsAnew && !list.complete) return Input::UnusableResponse; // a delta to an unknown list
     const auto update = list.complete ? EndpointListUpdate::Snapshot : EndpointListUpdate::Delta;
     const bool hasChanges = list.complete || !list.members.empty();
     if (hasChanges && !handleList_(update, list.members)) return Input::UnusableResponse;
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,5 +1,5 @@
-// Watches the endpoint list: which request is due on a connection to discovery, and what the responses mean. Knows
-// no socket.
+// The protocol for watching the endpoint list: decides which request to send to discovery next, and
+// interprets the responses. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,32 @@
 
 namespace zincstack::net {
 
-/// A state machine fed with bytes. It polls for a snapshot of the list first and then for watch events, each later
-/// than the revision that it has. The revision survives a connection, but not a response that can't be used.
+/// A state machine that consumes the received bytes. It requests a snapshot of the list first, and then polls
+/// for the changes since the last accepted revision. The revision is kept across connections, but discarded
+/// after an unusable response.
 class DiscoveryWatch {
 public:
-    /// Applies a list; false where its members can't be used, and the list before stays in force.
+    /// Applies a list. False if it has an invalid member: the watch then requests a snapshot on a new
+    /// connection. It is up to the handler whether it applies the valid members of such a list.
     using ListHandler = std::function<bool(EndpointListUpdate, const json::Value& members)>;
 
     DiscoveryWatch(std::string host, ListHandler handleList, Counters& counters,
                    std::size_t maxResponseBytes);
 
-    /// A new connection is up: the request to write.
+    /// A new connection was established. Returns the request to send.
     std::string connected();
-    /// Takes received bytes; the next request, or none while the response is incomplete or the connection is to be
-    /// closed (see `usable`).
+    /// Processes received bytes. Returns the next request to send, or an empty string while the response is
+    /// incomplete or if the connection is to be closed (see `usable`).
     std::string feed(std::string_view bytes);
     /// The connection has ended or timed out.
     void connectionLost();
-    /// Discovery has another address from now on, and counts its revisions from the beginning.
+    /// Discovery has moved to another address, where its revisions start anew.
     void addressChanged(std::string host);
-    /// Whether the current connection is of further use.
+    /// False if the current connection is to be closed.
     bool usable() const { return state_ != State::Disconnected; }
-    /// How many responses could be used so far.
+    /// Number of usable responses so far.
     std::uint64_t acceptedResponses() const { return acceptedResponses_; }
-    /// How long the response to the last request may take before the connection counts as dead.
+    /// Time allowed for the response to the last request, after which the connection is given up.
     Micros responseTimeout() const;
 
 private:
@@ -67,13 +69,14 @@
     };
     static const Transition kTransitions[];
 
-    /// A response body in discovery's form.
+    /// The body of a response from discovery.
     struct EndpointList {
         const json::Value& revision;
         const json::Value& members;
-        bool complete; ///< a snapshot rather than the changes since the revision asked for
+        bool complete; ///< true: a snapshot; false: the changes since the requested revision
     };
 
+    /// Performs the transition for the input. Returns the request to send, if any, or an empty string.
     std::string step(Input input);
     std::string request(std::string_view query) const;
     Input handleResponse();
@@ -85,9 +88,9 @@
     const std::size_t maxResponseBytes_;
     State state_ = State::Disconnected;
     HttpResponse response_{maxResponseBytes_};
-    std::optional<std::string> revision_; ///< as discovery writes it
-    double revisionNumber_ = 0;           ///< the same as a number
-    int olderResponses_ = 0;              ///< in a row
+    std::optional<std::string> revision_; ///< last accepted one, formatted as in the response
+    double revisionNumber_ = 0;           ///< the same, as a number
+    int olderResponses_ = 0;              ///< consecutive responses with an older revision
     std::uint64_t acceptedResponses_ = 0;
 };
 
--- a/src/engine/batch_runner.cpp
+++ b/src/engine/batch_runner.cpp
@@ -10,10 +10,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kQuietTicks = 2;             // without input before a batch closes
-constexpr int kMaxBatchTicks = 8;          // age at which it closes whatever comes
-constexpr int kMaxDrainTurns = 200;        // of the event loop, in which waiting input still joins the batch
-constexpr Micros kLateBatchMargin = 100ms; // a batch that took longer than this indicates a stall
+constexpr int kQuietTicks = 2;      // time without input after which a batch closes
+constexpr int kMaxBatchTicks = 8;   // age at which a batch closes even if input keeps arriving
+constexpr int kMaxDrainTurns = 200; // of the event loop, in which input that is ready still joins the batch
+// A batch that stays open for longer than the maximum age plus this margin indicates a stall.
+constexpr Micros kLateBatchMargin = 100ms;
 
 } // namespace
 
@@ -34,8 +35,8 @@
     return planner_;
 }
 
-/// A batch must not close in the middle of a load report: its second half would be judged alone, and every later
-/// report one interval late.
+/// Keeps the batch open until the input pauses, so that it does not close in the middle of a load report: the
+/// planner would evaluate the second half of the report by itself, and every later report one interval late.
 void BatchRunner::waitForQuiet() {
     closeTimer_.expires_after(std::min(lastInputAt_ + quietPeriod_, openedAt_ + maxBatchAge_) - clock_.now());
     closeTimer_.async_wait([this](const boost::system::error_code& error) {
@@ -48,7 +49,8 @@
     });
 }
 
-/// After a stall much input is waiting: as long as each turn of the event loop brings some, it joins the batch.
+/// Adds the input that has accumulated during a stall to the batch: closes the batch at the first turn of the
+/// event loop that yields no input, or when no turns remain.
 void BatchRunner::drainReadyInputs(int remainingTurns) {
     if (inputCount_ == drainedInputCount_ || remainingTurns == 0) return closeBatch();
     drainedInputCount_ = inputCount_;
@@ -57,8 +59,8 @@
 
 void BatchRunner::closeBatch() {
     isOpen_ = false;
-    const Micros now =
-        clock_.now(); // the decision is made as of now, however long it took to gather the input
+    // The planner decides as of the current time, regardless of how long the batch was open.
+    const Micros now = clock_.now();
     counters_.checkInvariant(now >= openedAt_);
     counters_.add(Counter::Batches);
     if (now - openedAt_ > maxBatchAge_ + kLateBatchMargin) counters_.add(Counter::LateBatches);
--- a/src/engine/batch_runner.h
+++ b/src/engine/batch_runner.h
@@ -1,5 +1,6 @@
-// Runs the planner in batches: an input opens a batch, whatever else is ready joins it, and then the planner decides
-// once and the changes are flushed. Owns the planner's clock and its wake-up timer.
+// Runs the planner in batches: an input opens a batch, inputs that arrive shortly after join it, and then the
+// planner decides once and the changes are flushed to the transports. Owns the planner's clock and its
+// wake-up timer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,7 +14,8 @@
 
 namespace zincstack::net {
 
-/// Unix time at the start plus what has passed since on the steady clock, so that it never goes back.
+/// A Unix clock that never goes back: the Unix time at construction plus the time elapsed since on the
+/// steady clock.
 class Clock {
 public:
     Micros now() const {
@@ -27,14 +29,17 @@
         std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
 };
 
+/// Opens, closes and times the batches of one planner. References must outlive it.
 class BatchRunner {
 public:
+    /// The quiet period that ends a batch and the maximum age of a batch are multiples of `tick`.
     BatchRunner(boost::asio::io_context& io, Planner& planner, routing::RoutingState& state,
                 Counters& counters, Micros tick);
 
-    /// The planner, ready for input. Opens a batch if none is open; it is decided once no more input comes.
+    /// Returns the planner to hand one input to. Opens a batch if none is open. The batch closes, and the
+    /// planner decides, once no input has arrived for a while or the batch has reached its maximum age.
     Planner& openBatch();
-    /// The planner's timer expires after the delay, in place of any wake-up scheduled before.
+    /// Calls Planner::timerExpired() after the delay. Replaces any earlier wake-up that is still pending.
     void scheduleWakeUp(Micros delay);
     Micros now() const { return clock_.now(); }
 
@@ -56,7 +61,7 @@
     Micros openedAt_{};
     Micros lastInputAt_{};
     std::uint64_t inputCount_ = 0;
-    std::uint64_t drainedInputCount_ = 0; ///< as of the previous turn of drainReadyInputs
+    std::uint64_t drainedInputCount_ = 0; ///< as of the previous drainReadyInputs()
 };
 
 } // namespace zincstack::net
--- a/src/routing/name_registry.h
+++ b/src/routing/name_registry.h
@@ -1,5 +1,5 @@
-// Maps the names used on the wire (request classes, zones, endpoints) to the ids used inside, and back. Owns the
-// endpoints' names and addresses; request classes and zones are fixed by the configuration.
+// Maps the names used on the wire (request classes, zones, endpoints) to the ids used internally, and back.
+// Owns the names and addresses of endpoints; request classes and zones are fixed by the configuration.
 #pragma once
 
 #include <deque>
@@ -15,6 +15,7 @@
 
 namespace zincstack::net {
 
+/// Lookups by name return std::nullopt if the name is unknown.
 class NameRegistry {
 public:
     NameRegistry(std::vector<std::string> requestClasses, std::vector<std::string> zones)
@@ -39,7 +40,7 @@
         return id;
     }
     void setAddress(EndpointId id, std::string_view address) { endpoints_.at(id).address = address; }
-    /// Releases the id; the most recently forgotten names are remembered for `wasForgotten`.
+    /// Removes the endpoint. `wasForgotten` considers the last kMaxForgottenNames names that were removed.
     void forget(EndpointId id) {
         const auto found = endpoints_.find(id);
         if (found == endpoints_.end()) return;
@@ -50,7 +51,8 @@
 
     const std::string& nameOf(EndpointId id) const { return endpoints_.at(id).name; }
     const std::string& nameOf(RequestClassId id) const { return requestClasses_[id.value]; }
-    /// Whether the name had another id before: proxies may still exclude the endpoint because of that one.
+    /// Whether the endpoint's name was forgotten under an earlier id: proxies may still exclude the endpoint
+    /// because of an exclusion that was ordered under that id.
     bool wasForgotten(EndpointId id) const {
         const auto found = endpoints_.find(id);
         return found != endpoints_.end() && found->second.wasForgotten;
@@ -63,13 +65,13 @@
     std::size_t requestClassCount() const { return requestClasses_.size(); }
 
 private:
-    /// Bounds the memory for names of forgotten endpoints.
+    /// Limits the memory used for the names of forgotten endpoints.
     static constexpr std::size_t kMaxForgottenNames = 2048;
 
     struct Endpoint {
         std::string name;
         std::string address;
-        bool wasForgotten = false;
+        bool wasForgotten = false; ///< under an earlier id
     };
 
     template <class IdType>
--- a/src/routing/routing_state.cpp
+++ b/src/routing/routing_state.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Writes a planner event to the program's log, with endpoints by name.
+/// Writes a planner event to the log, with the names of endpoints instead of their ids.
 struct EventLogger {
     const net::NameRegistry& names;
     std::string_view name;
--- a/tests/batch_runner_test.cpp
+++ b/tests/batch_runner_test.cpp
@@ -1,4 +1,4 @@
-// When a batch of inputs is decided.
+// When the planner decides on a batch of inputs.
 #include <boost/asio/steady_timer.hpp>
 #include <gtest/gtest.h>
 
@@ -11,8 +11,8 @@
 
 struct BatchRunnerTest : tests::PlatformHarness {};
 
-/// Regression: a load report that arrived while a batch was about to close was judged in two halves, and every later
-/// one an interval late.
+/// Regression: if a load report arrived while a batch was about to close, the planner evaluated the report in
+/// two halves, and every later report one interval late.
 TEST_F(BatchRunnerTest, ClosesABatchOnceNoMoreInputComes) {
     BatchRunner slow(io, planner, state, counters, 200ms);
     slow.openBatch();
--- a/tests/discovery_watch_test.cpp
+++ b/tests/discovery_watch_test.cpp
@@ -1,4 +1,4 @@
-// Watching the endpoint list: what is requested next, and which responses are used.
+// Watching the endpoint list: which request is sent next, and which responses are accepted.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -16,7 +16,7 @@
 struct DiscoveryWatchTest : testing::Test {
     Counters counters;
     std::vector<std::pair<EndpointListUpdate, std::size_t>> notified;
-    bool isUsable = true; ///< what the watch is answered
+    bool isUsable = true; ///< returned by the list handler
     DiscoveryWatch watch{"h:1",
                          [this](EndpointListUpdate kind, const json::Value& members) {
                              notified.emplace_back(kind, members.size());
@@ -44,7 +44,7 @@
     const std::vector<std::pair<EndpointListUpdate, std::size_t>> expected{{EndpointListUpdate::Snapshot, 1},
                                                                            {EndpointListUpdate::Delta, 2}};
     EXPECT_EQ(notified, expected);
-    watch.connectionLost(); // it continues from what it knows
+    watch.connectionLost(); // the next watch starts from the last accepted revision
     EXPECT_NE(watch.connected().find("index=43"), std::string::npos);
 }
 
@@ -65,7 +65,7 @@
     EXPECT_NE(watch.connected(), kWatchRequest);
 }
 
-/// Regression: an outdated list was taken for an update, and an endpoint that was draining returned to the tables.
+/// Regression: an outdated list was applied as an update, and a draining endpoint returned to the tables.
 TEST_F(DiscoveryWatchTest, IgnoresOlderRevisionsUnlessTheCountStartsAnew) {
     const auto revision = [](int number, bool complete) {
         return responseWith(R"({"revision":)" + std::to_string(number) + R"(,"complete":)" +
@@ -83,12 +83,13 @@
     EXPECT_NE(watch.connected(), kWatchRequest);
     EXPECT_NE(watch.feed(revision(40, true)).find("index=40"), std::string::npos);
     EXPECT_EQ(notified.size(), 2U);
-    EXPECT_NE(watch.feed(revision(42, false)).find("index=42"),
-              std::string::npos); // and continues from there
+    // Later revisions are compared with the new numbering.
+    EXPECT_NE(watch.feed(revision(42, false)).find("index=42"), std::string::npos);
     EXPECT_EQ(watch.feed(revision(41, false)), "");
 }
 
-/// It is noticed, and a new request can be answered, before what the dead watch missed counts as notified.
+/// A change that a dead watch misses counts as reported to the planner after 6 s. The watch must be given up,
+/// and a new request answered, before that.
 TEST_F(DiscoveryWatchTest, GivesUpADeadWatchWithinTheNotificationDeadline) {
     watch.connected();
     EXPECT_LE(watch.responseTimeout(), 2s);
--- a/tests/input_pieces.h
+++ b/tests/input_pieces.h
@@ -1,4 +1,4 @@
-// Feeds input to a parser in pieces of random sizes, as a socket may deliver it.
+// Feeds input to a parser in pieces of random sizes, as a socket can deliver it.
 #pragma once
 
 #include <rapidcheck.h>
@@ -8,7 +8,7 @@
 
 namespace zincstack::tests {
 
-/// Calls `feed` with consecutive pieces of the text. Only within a RapidCheck property.
+/// Calls `feed` with consecutive pieces of the text. May be called only within a RapidCheck property.
 void feedInPieces(std::string_view text, const auto& feed) {
     constexpr std::size_t kMaxPieceBytes = 39;
     while (!text.empty()) {
