--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -16,7 +16,7 @@
 constexpr Micros kMaxResponseDelay = 1500ms; // after that, or after the request for a snapshot
 
 // This many consecutive responses with an older revision mean that discovery has restarted its numbering.
-constexpr int kMaxOlderResponses = 10;
+constexpr int kMaxConsecutiveOlderResponses = 10;
 
 constexpr int kStatusOk = 200;
 
@@ -116,13 +116,15 @@
 /// draining by now. If discovery has restarted its numbering, only a snapshot is accepted.
 DiscoveryWatch::Input DiscoveryWatch::handleList(const EndpointList& list) {
     const auto revisionNumber = list.revision.get<double>();
-    if (revision_ && revisionNumber < revisionNumber_ && ++olderResponses_ < kMaxOlderResponses) {
+    if (revision_ && revisionNumber < revisionNumber_ &&
+        ++consecutiveOlderResponses_ < kMaxConsecutiveOlderResponses) {
         counters_.recordIgnored(Counter::ListsFailed, "revision " + list.revision.dump() +
                                                           " of the list is older than " + *revision_);
         return Input::OlderRevision;
     }
-    const bool countsAnew = std::exchange(olderResponses_, 0) >= kMaxOlderResponses;
-    if (countsAnew && !list.complete) return Input::UnusableResponse; // a delta to an unknown list
+    const bool numberingRestarted =
+        std::exchange(consecutiveOlderResponses_, 0) >= kMaxConsecutiveOlderResponses;
+    if (numberingRestarted && !list.complete) return Input::UnusableResponse; // a delta to an unknown list
     const auto update = list.complete ? EndpointListUpdate::Snapshot : EndpointListUpdate::Delta;
     const bool hasChanges = list.complete || !list.members.empty();
     if (hasChanges && !handleList_(update, list.members)) return Input::UnusableResponse;
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -90,7 +90,7 @@
     HttpResponse response_{maxResponseBytes_};
     std::optional<std::string> revision_; ///< last accepted one, formatted as in the response
     double revisionNumber_ = 0;           ///< the same, as a number
-    int olderResponses_ = 0;              ///< consecutive responses with an older revision
+    int consecutiveOlderResponses_ = 0;
     std::uint64_t acceptedResponses_ = 0;
 };
 
--- a/src/routing/routing_state.cpp
+++ b/src/routing/routing_state.cpp
@@ -66,13 +66,13 @@
     return hadSession;
 }
 
-bool RoutingState::owns(ProxyId proxy, const UpdateTransport& transport) const {
+bool RoutingState::isJoinedThrough(ProxyId proxy, const UpdateTransport& transport) const {
     const auto found = proxies_.find(proxy);
     return found != proxies_.end() && found->second.transport == &transport;
 }
 
 bool RoutingState::proxyLeft(ProxyId proxy, const UpdateTransport& transport) {
-    if (!owns(proxy, transport)) return false;
+    if (!isJoinedThrough(proxy, transport)) return false;
     credit_.sessionEnded(proxy);
     proxies_.erase(proxy);
     return true;
@@ -115,22 +115,22 @@
 // ---- desired state ----------------------------------------------------------------------------------------
 
 const std::set<TableId>& RoutingState::tablesOf(ProxyId proxy) const {
-    static const std::set<TableId> kNone;
+    static const std::set<TableId> kNoTables;
     const auto found = proxies_.find(proxy);
-    return found == proxies_.end() ? kNone : found->second.tables;
+    return found == proxies_.end() ? kNoTables : found->second.tables;
 }
 
 std::optional<AdmissionLimit> RoutingState::effectiveAdmission(TableId table,
                                                                RequestClassId requestClass) const {
     const AdmissionLimits& tableLimits = tables_.at(table).admission;
-    const auto ofTable = tableLimits.find(requestClass);
-    const auto ofFleet = fleetWideAdmission_.find(requestClass);
-    const bool hasTableLimit = ofTable != tableLimits.end();
-    if (ofFleet == fleetWideAdmission_.end())
-        return hasTableLimit ? std::optional(ofTable->second) : std::nullopt;
-    if (!hasTableLimit) return ofFleet->second;
-    return AdmissionLimit{std::min(ofTable->second.limit, ofFleet->second.limit),
-                          ofTable->second.retryPolicy};
+    const auto tableLimit = tableLimits.find(requestClass);
+    const auto fleetLimit = fleetWideAdmission_.find(requestClass);
+    const bool hasTableLimit = tableLimit != tableLimits.end();
+    if (fleetLimit == fleetWideAdmission_.end())
+        return hasTableLimit ? std::optional(tableLimit->second) : std::nullopt;
+    if (!hasTableLimit) return fleetLimit->second;
+    return AdmissionLimit{std::min(tableLimit->second.limit, fleetLimit->second.limit),
+                          tableLimit->second.retryPolicy};
 }
 
 bool RoutingState::mayRouteTo(ProxyId proxy, EndpointId endpoint) const {
--- a/src/routing/routing_state.h
+++ b/src/routing/routing_state.h
@@ -55,7 +55,7 @@
     /// Has no effect and returns false unless the proxy's session is on the transport.
     bool proxyLeft(ProxyId proxy, const UpdateTransport& transport);
     /// Whether the proxy's session is on the transport.
-    bool owns(ProxyId proxy, const UpdateTransport& transport) const;
+    bool isJoinedThrough(ProxyId proxy, const UpdateTransport& transport) const;
 
     // Flow control of the control channel. Line counts include the overhead of messages.
 
--- a/tests/discovery_watch_test.cpp
+++ b/tests/discovery_watch_test.cpp
@@ -15,12 +15,12 @@
 
 struct DiscoveryWatchTest : testing::Test {
     Counters counters;
-    std::vector<std::pair<EndpointListUpdate, std::size_t>> notified;
-    bool isUsable = true; ///< returned by the list handler
+    std::vector<std::pair<EndpointListUpdate, std::size_t>> handledLists;
+    bool handlerResult = true; ///< returned by the list handler
     DiscoveryWatch watch{"h:1",
                          [this](EndpointListUpdate kind, const json::Value& members) {
-                             notified.emplace_back(kind, members.size());
-                             return isUsable;
+                             handledLists.emplace_back(kind, members.size());
+                             return handlerResult;
                          },
                          counters, 1 << 20};
     static std::string responseWith(std::string_view body, std::string_view status = "200 OK") {
@@ -43,7 +43,7 @@
         std::string::npos);
     const std::vector<std::pair<EndpointListUpdate, std::size_t>> expected{{EndpointListUpdate::Snapshot, 1},
                                                                            {EndpointListUpdate::Delta, 2}};
-    EXPECT_EQ(notified, expected);
+    EXPECT_EQ(handledLists, expected);
     watch.connectionLost(); // the next watch starts from the last accepted revision
     EXPECT_NE(watch.connected().find("index=43"), std::string::npos);
 }
@@ -60,13 +60,13 @@
     EXPECT_EQ(counters.of(Counter::ListsWhole), 0U);
     watch.connected();
     watch.feed(responseWith(kSnapshot));
-    isUsable = false;
+    handlerResult = false;
     EXPECT_EQ(watch.feed(responseWith(R"({"revision":43,"complete":false,"members":[{}]})")), "");
     EXPECT_NE(watch.connected(), kWatchRequest);
 }
 
 /// Regression: an outdated list was applied as an update, and a draining endpoint returned to the tables.
-TEST_F(DiscoveryWatchTest, IgnoresOlderRevisionsUnlessTheCountStartsAnew) {
+TEST_F(DiscoveryWatchTest, IgnoresOlderRevisionsUnlessNumberingRestarts) {
     const auto revision = [](int number, bool complete) {
         return responseWith(R"({"revision":)" + std::to_string(number) + R"(,"complete":)" +
                             (complete ? "true" : "false") + R"(,"members":[{"id":"s-1"}]})");
@@ -78,11 +78,11 @@
         EXPECT_FALSE(watch.usable());
         EXPECT_EQ(watch.connected(), kWatchRequest);
     }
-    EXPECT_EQ(notified.size(), 1U);
+    EXPECT_EQ(handledLists.size(), 1U);
     EXPECT_EQ(watch.feed(revision(40, false)), ""); // a delta to an unknown list
     EXPECT_NE(watch.connected(), kWatchRequest);
     EXPECT_NE(watch.feed(revision(40, true)).find("index=40"), std::string::npos);
-    EXPECT_EQ(notified.size(), 2U);
+    EXPECT_EQ(handledLists.size(), 2U);
     // Later revisions are compared with the new numbering.
     EXPECT_NE(watch.feed(revision(42, false)).find("index=42"), std::string::npos);
     EXPECT_EQ(watch.feed(revision(41, false)), "");
