--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -44,6 +44,7 @@
     Micros responseTimeout() const;
 
 private:
+    /// `Any` matches every state in kTransitions.
     enum class State : std::uint8_t { Disconnected, AwaitingSnapshot, Watching, Any };
     enum class Input : std::uint8_t {
         Connected,
