--- a/tests/discovery_watch_test.cpp
+++ b/tests/discovery_watch_test.cpp
@@ -1,4 +1,4 @@
-// Watching the endpoint list: what is requested next, and which responses are used.
+// Watching the endpoint list: which request is sent next, and which responses are accepted.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -15,12 +15,12 @@
 
 struct DiscoveryWatchTest : testing::Test {
     Counters counters;
-    std::vector<std::pair<EndpointListUpdate, std::size_t>> notified;
-    bool isUsable = true; ///< what the watch is answered
+    std::vector<std::pair<EndpointListUpdate, std::size_t>> handledLists;
+    bool handlerResult = true; ///< returned by the list handler
     DiscoveryWatch watch{"h:1",
                          [this](EndpointListUpdate kind, const json::Value& members) {
-                             notified.emplace_back(kind, members.size());
-                             return isUsable;
+                             handledLists.emplace_back(kind, members.size());
+                             return handlerResult;
                          },
                          counters, 1 << 20};
     static std::string responseWith(std::string_view body, std::string_view status = "200 OK") {
@@ -43,8 +43,8 @@
         std::string::npos);
     const std::vector<std::pair<EndpointListUpdate, std::size_t>> expected{{EndpointListUpdate::Snapshot, 1},
                                                                            {EndpointListUpdate::Delta, 2}};
-    EXPECT_EQ(notified, expected);
-    watch.connectionLost(); // it continues from what it knows
+    EXPECT_EQ(handledLists, expected);
+    watch.connectionLost(); // the next watch starts from the last accepted revision
     EXPECT_NE(watch.connected().find("index=43"), std::string::npos);
 }
 
@@ -60,13 +60,13 @@
     EXPECT_EQ(counters.of(Counter::ListsWhole), 0U);
     watch.connected();
     watch.feed(responseWith(kSnapshot));
-    isUsable = false;
+    handlerResult = false;
     EXPECT_EQ(watch.feed(responseWith(R"({"revision":43,"complete":false,"members":[{}]})")), "");
     EXPECT_NE(watch.connected(), kWatchRequest);
 }
 
-/// Regression: an outdated list was taken for an update, and an endpoint that was draining returned to the tables.
-TEST_F(DiscoveryWatchTest, IgnoresOlderRevisionsUnlessTheCountStartsAnew) {
+/// Regression: an outdated list was applied as an update, and a draining endpoint returned to the tables.
+TEST_F(DiscoveryWatchTest, IgnoresOlderRevisionsUnlessNumberingRestarts) {
     const auto revision = [](int number, bool complete) {
         return responseWith(R"({"revision":)" + std::to_string(number) + R"(,"complete":)" +
                             (complete ? "true" : "false") + R"(,"members":[{"id":"s-1"}]})");
@@ -78,17 +78,18 @@
         EXPECT_FALSE(watch.usable());
         EXPECT_EQ(watch.connected(), kWatchRequest);
     }
-    EXPECT_EQ(notified.size(), 1U);
+    EXPECT_EQ(handledLists.size(), 1U);
     EXPECT_EQ(watch.feed(revision(40, false)), ""); // a delta to an unknown list
     EXPECT_NE(watch.connected(), kWatchRequest);
     EXPECT_NE(watch.feed(revision(40, true)).find("index=40"), std::string::npos);
-    EXPECT_EQ(notified.size(), 2U);
-    EXPECT_NE(watch.feed(revision(42, false)).find("index=42"),
-              std::string::npos); // and continues from there
+    EXPECT_EQ(handledLists.size(), 2U);
+    // Later revisions are compared with the new numbering.
+    EXPECT_NE(watch.feed(revision(42, false)).find("index=42"), std::string::npos);
     EXPECT_EQ(watch.feed(revision(41, false)), "");
 }
 
-/// It is noticed, and a new request can be answered, before what the dead watch missed counts as notified.
+/// A change that a dead watch misses counts as reported to the planner after 6 s. The watch must be given up,
+/// and a new request answered, before that.
 TEST_F(DiscoveryWatchTest, GivesUpADeadWatchWithinTheNotificationDeadline) {
     watch.connected();
     EXPECT_LE(watch.responseTimeout(), 2s);
