--- a/src/simwire/batch_input.h
+++ b/src/simwire/batch_input.h
@@ -1,4 +1,4 @@
-// Batches from a stream of bytes, one after another.
+// Splits a byte stream into the batches that the simulator sends.
 #pragma once
 
 #include <cstddef>
@@ -9,16 +9,18 @@
 
 namespace zincstack::simwire {
 
+/// One batch: its header and its undecoded records.
 struct Batch {
     BatchHeader header;
     std::vector<std::byte> body;
 };
 
-/// Reads from a file that it does not own.
+/// Reads batches from a file, which the caller owns and keeps open while the BatchInput is in use.
 class BatchInput {
 public:
     explicit BatchInput(std::FILE* file) : file_(file) {}
-    /// Reads the next batch. False: the input is over. Throws InputError where it ends inside a batch.
+    /// Reads the next batch into `batch`. Returns false at the end of the input. Throws InputError if the
+    /// input ends inside a batch or a batch header is malformed.
     bool read(Batch& batch);
 
 private:
--- a/src/simwire/codec.cpp
+++ b/src/simwire/codec.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kMaxSeconds = 4e9; // beyond a century, and far below what whole microseconds can hold
+constexpr double kMaxSeconds = 4e9; // over a century; as microseconds it is far below the range of Micros
 constexpr double kMicrosPerSecond = 1e6;
 
 } // namespace
@@ -29,20 +29,20 @@
 double FieldReader::float64(std::string_view field) {
     double out{};
     std::memcpy(&out, take(field, sizeof out).data(), sizeof out);
-    if (!std::isfinite(out)) fail(field, "not a finite number");
+    if (!std::isfinite(out)) fail(field, "expected a finite number, got " + std::to_string(out));
     return out;
 }
 
 double FieldReader::float32(std::string_view field) {
     float out{};
     std::memcpy(&out, take(field, sizeof out).data(), sizeof out);
-    if (!std::isfinite(out)) fail(field, "not a finite number");
+    if (!std::isfinite(out)) fail(field, "expected a finite number, got " + std::to_string(out));
     return static_cast<double>(out);
 }
 
 bool FieldReader::boolean(std::string_view field) {
     const auto value = integer<std::uint8_t>(field);
-    if (value > 1) fail(field, "neither true nor false");
+    if (value > 1) fail(field, "expected 0 or 1, got " + std::to_string(value));
     return value == 1;
 }
 
@@ -53,12 +53,12 @@
 }
 
 Micros FieldReader::toMicros(double seconds, std::string_view field) const {
-    if (std::abs(seconds) > kMaxSeconds) fail(field, "a time out of all range");
+    if (std::abs(seconds) > kMaxSeconds) fail(field, "time out of range: " + std::to_string(seconds) + " s");
     return Micros(std::llround(seconds * kMicrosPerSecond));
 }
 
 void FieldReader::expectEnd() const {
-    if (!rest_.empty()) fail("end", std::to_string(rest_.size()) + " bytes too many");
+    if (!rest_.empty()) fail("end", std::to_string(rest_.size()) + " unexpected bytes after the last field");
 }
 
 BatchHeader readBatchHeader(std::span<const std::byte> bytes) {
--- a/src/simwire/codec.h
+++ b/src/simwire/codec.h
@@ -1,7 +1,8 @@
-// Byte-level reading and writing of the simulator's frames: bounds, finiteness and field names, no meaning.
+// Byte-level encoding and decoding of the simulator's batches and replies. Checks bounds and that numbers are
+// finite, and names the faulty field in errors. Does not interpret the fields.
 //
-// A batch is a header of 16 bytes and its records; a record is a code, a length and its fields; a reply is a length
-// and its records. Numbers are little-endian, times are seconds as floating-point numbers.
+// A batch is a header of 16 bytes followed by records. A record is a code, a length and its fields. A reply
+// is a length followed by records. Numbers are little-endian. Times are floating-point seconds.
 #pragma once
 
 #include <bit>
@@ -21,23 +22,26 @@
 
 namespace zincstack::simwire {
 
-static_assert(std::endian::native == std::endian::little, "the wire is little-endian, and so is this code");
+static_assert(std::endian::native == std::endian::little,
+              "the wire format is little-endian and is copied without byte swapping");
 
 inline constexpr std::size_t kBatchHeaderBytes = 16;
 inline constexpr std::size_t kRecordHeaderBytes = 5; // code and length
 inline constexpr std::size_t kEndpointBytes = 6;     // IPv4 address and port, the low bytes of an EndpointId
 
+/// Header of a batch.
 struct BatchHeader {
-    std::uint32_t records = 0;
-    std::uint32_t bytes = 0; ///< of all records
-    Micros clock{};
+    std::uint32_t records = 0; ///< number of records
+    std::uint32_t bytes = 0;   ///< total size of the records
+    Micros clock{};            ///< simulated time of the batch
 };
 
-/// Reads the fields of one record in order. Throws InputError on a fault, naming the record, the field and the offset.
-/// `record` and `fields` must outlive the reader's use of the fields.
+/// Reads the fields of one record in order. Throws InputError if a field is malformed or missing; the message
+/// names the record, the field and the offset. The memory behind `record` and `fields` must outlive the
+/// reader.
 class FieldReader {
 public:
-    /// `offset`: where the fields begin, from the start of the batch.
+    /// `offset`: position of the first field, counted from the start of the batch.
     FieldReader(std::string_view record, std::span<const std::byte> fields, std::size_t offset)
         : record_(record), rest_(fields), offset_(offset) {}
 
@@ -48,15 +52,19 @@
         std::memcpy(&out, take(field, sizeof out).data(), sizeof out);
         return out;
     }
+    /// Throws InputError unless the number is finite; float32() does the same.
     double float64(std::string_view field);
     double float32(std::string_view field);
+    /// A 64-bit number of seconds, rounded to whole microseconds.
     Micros duration(std::string_view field) { return toMicros(float64(field), field); }
+    /// One byte that must be 0 or 1.
     bool boolean(std::string_view field);
     EndpointId endpoint(std::string_view field);
     std::span<const std::byte> bytes(std::string_view field, std::size_t size) { return take(field, size); }
     std::size_t remaining() const { return rest_.size(); }
-    /// Throws if fields are left over.
+    /// Throws InputError if bytes are left after the last field.
     void expectEnd() const;
+    /// Throws InputError for this field at the current offset.
     [[noreturn]] void fail(std::string_view field, std::string_view what) const;
 
 private:
@@ -68,17 +76,18 @@
     std::size_t offset_;
 };
 
-/// Throws InputError where the bytes are no header.
+/// Decodes a batch header. Throws InputError if it is malformed.
 BatchHeader readBatchHeader(std::span<const std::byte> bytes);
 
-/// Builds a reply: records of actions after their length.
+/// Builds a reply: its length in bytes, followed by the records of actions.
 class ReplyWriter {
 public:
     ReplyWriter() { clear(); }
+    /// Starts a new, empty reply.
     void clear() { bytes_.assign(sizeof(std::uint32_t), std::byte{0}); }
 
-    /// Writes one record; its length is filled in from the fields given. Throws std::range_error on a number that is
-    /// negative or not finite.
+    /// Appends one record and sets its length from the given fields. Throws std::range_error if a
+    /// floating-point field is negative or not finite.
     template <class... Fields>
     void record(ActionCode code, const Fields&... fields) {
         put(static_cast<std::uint8_t>(code));
@@ -88,7 +97,7 @@
         const auto size = static_cast<std::uint32_t>(bytes_.size() - lengthAt - sizeof(std::uint32_t));
         std::memcpy(bytes_.data() + lengthAt, &size, sizeof size);
     }
-    /// The reply, valid until the next change.
+    /// Sets the length of the reply and returns its bytes, valid until the next clear() or record().
     std::span<const std::byte> finish();
 
 private:
@@ -96,10 +105,12 @@
         requires std::is_arithmetic_v<T>
     void put(const T& value) {
         if constexpr (std::is_floating_point_v<T>)
-            if (!std::isfinite(value) || value < 0) throw std::range_error("a number below 0 or not finite");
+            if (!std::isfinite(value) || value < 0)
+                throw std::range_error("number in a reply is negative or not finite");
         append(&value, sizeof value);
     }
     void put(const EndpointId& endpoint) { append(&endpoint.value, kEndpointBytes); }
+    /// Writes a 16-bit length and the text, which is truncated to 65535 bytes.
     void put(std::string_view text);
     void append(const void* from, std::size_t size) {
         const auto* first = static_cast<const std::byte*>(from);
--- a/src/simwire/event_codes.h
+++ b/src/simwire/event_codes.h
@@ -1,4 +1,5 @@
-// Codes of the records on the simulator's wire. The wire's own words stand beside each code; error messages use them.
+// Codes of the records in the simulator's protocol. The comment on each code gives its protocol name, which
+// error messages about events use.
 #pragma once
 
 #include <cstddef>
@@ -6,26 +7,26 @@
 
 namespace zincstack::simwire {
 
-/// Records of a batch: what the simulator tells planners.
+/// Records of a batch: events that the simulator sends to planners.
 enum class EventCode : std::uint8_t {
     DemandReport = 1,        ///< INTAKE
-    RangeHeld = 2,           ///< HELD: sharded mode, used by no decision
+    RangeHeld = 2,           ///< HELD: sharded mode only; validated and ignored
     TimerExpired = 3,        ///< TIMEOUT_FIRED
     ProxyLeft = 4,           ///< LEFT
     BarrierAcknowledged = 5, ///< TOOK_EFFECT
-    RangeLeased = 6,         ///< LEASED: sharded mode, used by no decision
+    RangeLeased = 6,         ///< LEASED: sharded mode only; validated and ignored
     OpenInstance = 7,        ///< OPEN_INSTANCE
     ProxyJoined = 8,         ///< DIALLED_IN
     CloseInstance = 9,       ///< HALT
-    EndpointList = 10,       ///< POOL: a list that a later EndpointUpdate names by its number
-    RangeLoad = 11,          ///< RANGE_LOAD: sharded mode, used by no decision
+    EndpointList = 10,       ///< POOL: a numbered list that later EndpointUpdate events refer to
+    RangeLoad = 11,          ///< RANGE_LOAD: sharded mode only; validated and ignored
     ProbeCompleted = 12,     ///< PROBE_DONE
     EndpointUpdate = 13,     ///< TARGETS
     LoadReport = 14,         ///< OBSERVED
-    PeerMessage = 15,        ///< NEIGHBOUR_SAYS: planners decide alone, used by no decision
+    PeerMessage = 15,        ///< NEIGHBOUR_SAYS: validated and ignored, since planners decide independently
 };
 
-/// Records of a reply: what planners order.
+/// Records of a reply: actions that planners request from the simulator.
 enum class ActionCode : std::uint8_t {
     ReportFailure = 1,         ///< BUG
     ScheduleWakeUp = 3,        ///< SCHEDULE
@@ -39,11 +40,11 @@
     SubscribeToEndpoints = 13, ///< TRACK
 };
 
-/// The simulator keeps up to 16 endpoint lists under numbers.
+/// Endpoint lists are numbered from 0 to kEndpointListSlots - 1.
 inline constexpr std::size_t kEndpointListSlots = 16;
-/// Stands for every table where an action names one.
-inline constexpr std::uint16_t kEveryTable = 65535;
-/// A planner has at most one timer, so all its wake-ups carry the same tag.
+/// Table number in an action that applies to all tables.
+inline constexpr std::uint16_t kAllTables = 65535;
+/// Tag of all wake-ups: a planner has at most one timer, so there is nothing to tell apart.
 inline constexpr std::uint64_t kWakeUpTag = 1;
 
 } // namespace zincstack::simwire
--- a/src/simwire/event_fields.cpp
+++ b/src/simwire/event_fields.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint64_t kMaxBarrier = std::numeric_limits<std::uint16_t>::max();
 constexpr std::size_t kEndpointEntryBytes = 24;
 
-/// By the number of the wire.
+/// Indexed by the value of the field Form.
 constexpr std::array kListUpdates = {EndpointListUpdate::Cached, EndpointListUpdate::PollFailed,
                                      EndpointListUpdate::Delta, EndpointListUpdate::Snapshot};
 constexpr auto kLastEndpointState = static_cast<std::uint8_t>(EndpointState::Draining);
@@ -23,11 +23,12 @@
     entry.id = reader.endpoint("NodesList.Server");
     const auto state = reader.integer<std::uint8_t>("NodesList.State");
     if (state > kLastEndpointState)
-        reader.fail("NodesList.State", "no state of a server: " + std::to_string(state));
+        reader.fail("NodesList.State", "unknown endpoint state " + std::to_string(state));
     entry.state = static_cast<EndpointState>(state);
     entry.startedAt = reader.duration("NodesList.ReadyAtS");
     entry.weight = reader.float32("NodesList.Share");
-    if (entry.weight < 0) reader.fail("NodesList.Share", "a weight below 0");
+    if (entry.weight < 0)
+        reader.fail("NodesList.Share", "weight is negative: " + std::to_string(entry.weight));
     entry.pod = {reader.integer<std::uint16_t>("NodesList.Pod")};
     reader.integer<std::uint16_t>("NodesList.GenerationHw");
     entry.zone = {reader.integer<std::uint8_t>("NodesList.Locality")};
@@ -42,21 +43,22 @@
     ProxyJoin join;
     join.proxy = {reader.integer<std::uint16_t>("Proxy")};
     join.zone = {reader.integer<std::uint8_t>("Locality")};
-    join.usualRate = reader.float32("Share");
+    join.expectedRate = reader.float32("Share");
     join.hasOnlyBootstrapTable = reader.boolean("Flag");
     reader.expectEnd();
     return join;
 }
 
 BarrierAcknowledgement readBarrierAcknowledgement(FieldReader& reader) {
-    BarrierAcknowledgement reply;
-    reply.proxy = {reader.integer<std::uint16_t>("Proxy")};
+    BarrierAcknowledgement acknowledgement;
+    acknowledgement.proxy = {reader.integer<std::uint16_t>("Proxy")};
     const auto number = reader.integer<std::uint64_t>("Epoch");
-    if (number > kMaxBarrier) reader.fail("Epoch", "a mark above 65535");
-    reply.barrier = {static_cast<std::uint16_t>(number)};
+    if (number > kMaxBarrier)
+        reader.fail("Epoch", "barrier number " + std::to_string(number) + " is above 65535");
+    acknowledgement.barrier = {static_cast<std::uint16_t>(number)};
     reader.duration("DelaySeenS");
     reader.expectEnd();
-    return reply;
+    return acknowledgement;
 }
 
 DemandReport readDemandReport(FieldReader& reader) {
@@ -73,20 +75,22 @@
 void readEndpointList(FieldReader& reader, std::vector<EndpointUpdate>& entries) {
     const auto count = reader.integer<std::uint32_t>("NodesList");
     if (reader.remaining() != std::size_t{count} * kEndpointEntryBytes)
-        reader.fail("NodesList", std::to_string(count) + " entries do not fill " +
-                                     std::to_string(reader.remaining()) + " bytes");
+        reader.fail("NodesList", std::to_string(count) + " entries need " +
+                                     std::to_string(std::size_t{count} * kEndpointEntryBytes) +
+                                     " bytes, got " + std::to_string(reader.remaining()));
     entries.clear();
     for (std::uint32_t number = 0; number < count; ++number) entries.push_back(readEndpointEntry(reader));
 }
 
 EndpointListUpdate readEndpointListUpdate(FieldReader& reader) {
     const auto form = reader.integer<std::uint8_t>("Form");
-    if (form >= kListUpdates.size()) reader.fail("Form", "no kind of list: " + std::to_string(form));
+    if (form >= kListUpdates.size())
+        reader.fail("Form", "unknown kind of endpoint list " + std::to_string(form));
     reader.integer<std::uint64_t>("Epoch");
     return kListUpdates[form];
 }
 
-EndpointLoadReport readEndpointSums(FieldReader& reader) {
+EndpointLoadReport readLoadReportHeader(FieldReader& reader) {
     EndpointLoadReport report;
     report.proxyZone = {reader.integer<std::uint8_t>("Locality")};
     report.endpoint = reader.endpoint("Server");
@@ -97,11 +101,11 @@
     return report;
 }
 
-ProbeResult readProbeOutcome(FieldReader& reader) {
+ProbeResult readProbeResultHeader(FieldReader& reader) {
     ProbeResult result;
     result.endpoint = reader.endpoint("Server");
     const auto status = reader.integer<std::uint16_t>("Status");
-    if (status > kLastProbeStatus) reader.fail("Status", "no result of a probe: " + std::to_string(status));
+    if (status > kLastProbeStatus) reader.fail("Status", "unknown probe status " + std::to_string(status));
     result.status = static_cast<ProbeStatus>(status);
     result.latency = reader.duration("DelaySeenS");
     return result;
--- a/src/simwire/event_fields.h
+++ b/src/simwire/event_fields.h
@@ -1,4 +1,5 @@
-// Reads the fields of each event into the planner's own types. Every function throws InputError on a fault.
+// Decodes the fields of each event into the planner's types. Every function throws InputError if a field is
+// malformed.
 #pragma once
 
 #include <cstdint>
@@ -10,33 +11,37 @@
 
 namespace zincstack::simwire {
 
+/// Event ProxyJoined: a proxy has connected.
 struct ProxyJoin {
     ProxyId proxy;
     ZoneId zone;
-    double usualRate = 0; ///< requests a second
-    bool hasOnlyBootstrapTable = false;
+    double expectedRate = 0;            ///< requests per second, used until the first demand report
+    bool hasOnlyBootstrapTable = false; ///< false: the proxy holds a table from an earlier planner
 };
+/// Event BarrierAcknowledged: a proxy has applied the message that the barrier closed.
 struct BarrierAcknowledgement {
     ProxyId proxy;
     BarrierId barrier;
 };
 
-/// The number of the instance that an event is for; the first field of all events but the endpoint list.
+/// Number of the planner instance that the event is addressed to. It is the first field of every event except
+/// the endpoint list.
 std::uint32_t readInstance(FieldReader& reader);
 
-// These read to the end of the event.
+// These functions read all remaining fields of the event.
 ProxyJoin readProxyJoin(FieldReader& reader);
 BarrierAcknowledgement readBarrierAcknowledgement(FieldReader& reader);
 DemandReport readDemandReport(FieldReader& reader);
-/// Replaces the entries of the list; their memory is reused.
+/// Replaces the contents of `entries`, whose memory is reused.
 void readEndpointList(FieldReader& reader, std::vector<EndpointUpdate>& entries);
 
-// These read the part of an event before its last fields.
+// These functions leave the last fields of the event to the caller.
 EndpointListUpdate readEndpointListUpdate(FieldReader& reader);
-EndpointLoadReport readEndpointSums(FieldReader& reader);
-ProbeResult readProbeOutcome(FieldReader& reader);
+EndpointLoadReport readLoadReportHeader(FieldReader& reader);
+ProbeResult readProbeResultHeader(FieldReader& reader);
 
-/// The figures that an endpoint tells of itself. Columns that have no name are read and ignored.
+/// Load figures that the endpoint reports about itself. `columns` names them in order; values beyond the last
+/// name are read and ignored.
 LoadReport readLoadReport(FieldReader& reader, const std::vector<std::string>& columns);
 
 } // namespace zincstack::simwire
--- a/src/simwire/host.cpp
+++ b/src/simwire/host.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// Codes count from 1 without a gap, so that an event's handler is found by its place.
+/// True if the codes run from 1 without gaps, so that a code is the index of its handler plus 1.
 constexpr bool isOrderedByCode(const auto& handlers) {
-    for (std::size_t place = 0; place < handlers.size(); ++place)
-        if (static_cast<std::size_t>(handlers[place].code) != place + 1) return false;
+    for (std::size_t index = 0; index < handlers.size(); ++index)
+        if (static_cast<std::size_t>(handlers[index].code) != index + 1) return false;
     return true;
 }
 
 } // namespace
 
-/// What the host does with an event. The wire's name of it begins the messages on its faults.
+/// Handler of one kind of event. Error messages about the event begin with its protocol name.
 struct Host::EventHandler {
     EventCode code;
-    std::string_view wireName;
+    std::string_view protocolName;
     void (Host::*handle)(FieldReader&);
 };
 
@@ -55,7 +55,7 @@
     std::size_t position = 0;
     for (std::uint32_t number = 0; number < header.records; ++number) {
         const std::size_t offset = kBatchHeaderBytes + position;
-        const std::string name = "record " + std::to_string(number); // the reader only refers to it
+        const std::string name = "record " + std::to_string(number); // must outlive the reader
         FieldReader reader(name, body.subspan(position), offset);
         const auto code = reader.integer<std::uint8_t>("code");
         const auto size = reader.integer<std::uint32_t>("length");
@@ -64,46 +64,45 @@
     }
     if (position != body.size())
         throw InputError("batch.length at offset 4: " + std::to_string(body.size() - position) +
-                         " bytes are left after the last record");
+                         " unexpected bytes after the last record");
     decide();
     return reply_.finish();
 }
 
-/// An instance may stand in the list twice, when it was opened again within the batch; it decides once.
+/// An instance that was reopened within the batch is listed twice but decides only once.
 void Host::decide() {
-    for (const std::uint32_t number : inBatch_) {
+    for (const std::uint32_t number : instancesInBatch_) {
         const auto found = instances_.find(number);
         if (found == instances_.end() || !found->second->isInBatch) continue;
         found->second->isInBatch = false;
         found->second->run([](Planner& planner) { planner.decide(); });
     }
-    inBatch_.clear();
+    instancesInBatch_.clear();
 }
 
 PlannerInstance& Host::instanceInBatch(std::uint32_t number, const FieldReader& reader) {
     const auto found = instances_.find(number);
-    if (found == instances_.end())
-        reader.fail("Who", "instance " + std::to_string(number) + " was never opened");
+    if (found == instances_.end()) reader.fail("Who", "instance " + std::to_string(number) + " is not open");
     PlannerInstance& instance = *found->second;
     if (instance.isInBatch) return instance;
     instance.isInBatch = true;
-    inBatch_.push_back(number);
+    instancesInBatch_.push_back(number);
     instance.run([this](Planner& planner) { planner.beginBatch(clock_); });
     return instance;
 }
 
 void Host::handleEvent(std::uint8_t code, std::span<const std::byte> fields, std::size_t offset) {
     const EventHandler* handler = findHandler(code);
-    if (!handler) return noticeUnknownEvent(code, offset);
-    FieldReader reader(handler->wireName, fields, offset);
+    if (!handler) return reportUnknownEvent(code, offset);
+    FieldReader reader(handler->protocolName, fields, offset);
     (this->*handler->handle)(reader);
 }
 
-void Host::noticeUnknownEvent(std::uint8_t code, std::size_t offset) {
-    if (unknownEventsNoticed_[code]) return;
-    notice_("event code " + std::to_string(code) + " is not known, skipped at offset " +
-            std::to_string(offset));
-    unknownEventsNoticed_[code] = true;
+void Host::reportUnknownEvent(std::uint8_t code, std::size_t offset) {
+    if (unknownEventsReported_[code]) return;
+    notice_("unknown event code " + std::to_string(code) + " at offset " + std::to_string(offset) +
+            "; skipping all events of this code");
+    unknownEventsReported_[code] = true;
 }
 
 // ---- instances -------------------------------------------------------------------------------------------
@@ -140,7 +139,7 @@
     const auto number = readInstance(reader);
     const ProxyJoin join = readProxyJoin(reader);
     instanceInBatch(number, reader).run([&](Planner& planner) {
-        planner.proxyJoined(join.proxy, join.zone, join.usualRate, join.hasOnlyBootstrapTable);
+        planner.proxyJoined(join.proxy, join.zone, join.expectedRate, join.hasOnlyBootstrapTable);
     });
 }
 
@@ -153,9 +152,9 @@
 
 void Host::handleBarrierAcknowledged(FieldReader& reader) {
     const auto number = readInstance(reader);
-    const BarrierAcknowledgement reply = readBarrierAcknowledgement(reader);
+    const BarrierAcknowledgement acknowledgement = readBarrierAcknowledgement(reader);
     instanceInBatch(number, reader).run([&](Planner& planner) {
-        planner.barrierAcknowledged(reply.proxy, reply.barrier);
+        planner.barrierAcknowledged(acknowledgement.proxy, acknowledgement.barrier);
     });
 }
 
@@ -170,7 +169,8 @@
 void Host::handleEndpointList(FieldReader& reader) {
     const auto number = reader.integer<std::uint16_t>("Table");
     if (number >= endpointLists_.size())
-        reader.fail("Table", "no list has the number " + std::to_string(number));
+        reader.fail("Table", "endpoint list " + std::to_string(number) + " does not exist, the last is " +
+                                 std::to_string(endpointLists_.size() - 1));
     readEndpointList(reader, endpointLists_[number]);
 }
 
@@ -181,7 +181,9 @@
     std::span<const EndpointUpdate> entries;
     if (update != EndpointListUpdate::PollFailed) {
         if (listNumber >= endpointLists_.size())
-            reader.fail("Table", "no list has the number " + std::to_string(listNumber));
+            reader.fail("Table", "endpoint list " + std::to_string(listNumber) +
+                                     " does not exist, the last is " +
+                                     std::to_string(endpointLists_.size() - 1));
         entries = endpointLists_[listNumber];
     }
     reader.expectEnd();
@@ -190,8 +192,8 @@
 
 void Host::handleLoadReport(FieldReader& reader) {
     const auto number = readInstance(reader);
-    EndpointLoadReport report = readEndpointSums(reader);
-    PlannerInstance& instance = instanceInBatch(number, reader); // its settings name the columns that follow
+    EndpointLoadReport report = readLoadReportHeader(reader);
+    PlannerInstance& instance = instanceInBatch(number, reader); // provides the column names
     report.load = readLoadReport(reader, instance.reportColumns());
     reader.expectEnd();
     instance.run([&](Planner& planner) { planner.reportLoad(report); });
@@ -199,14 +201,14 @@
 
 void Host::handleProbeCompleted(FieldReader& reader) {
     const auto number = readInstance(reader);
-    ProbeResult result = readProbeOutcome(reader);
-    PlannerInstance& instance = instanceInBatch(number, reader); // its settings name the columns that follow
+    ProbeResult result = readProbeResultHeader(reader);
+    PlannerInstance& instance = instanceInBatch(number, reader); // provides the column names
     result.load = readLoadReport(reader, instance.reportColumns());
     reader.expectEnd();
     instance.run([&](Planner& planner) { planner.probeCompleted(result); });
 }
 
-// ---- events that no decision uses ------------------------------------------------------------------------
+// ---- events that are validated and ignored ----------------------------------------------------------------
 
 void Host::handleRangeHeld(FieldReader& reader) {
     const auto number = readInstance(reader);
--- a/src/simwire/host.h
+++ b/src/simwire/host.h
@@ -1,5 +1,5 @@
-// Hosts many planners on the simulator's wire: one batch of events in, one reply of actions out. Translates between
-// the wire and the planner's interface, and decides nothing.
+// Runs many planners for the simulator: takes one batch of events and returns one reply of actions. Only
+// translates between the simulator's protocol and the planner's interface; the planners make all decisions.
 #pragma once
 
 #include <array>
@@ -21,25 +21,29 @@
 /// Owns the planner instances, the endpoint lists that events refer to by number, and the reply.
 class Host {
 public:
-    /// Receives lines for the operator, such as that an event's code is unknown.
+    /// Receives warnings for the operator, for example about an unknown event code.
     using Notice = std::function<void(std::string_view)>;
     explicit Host(Notice notice);
     ~Host() = default;
     Host(const Host&) = delete;
     Host& operator=(const Host&) = delete;
 
-    /// Plays one batch; the reply stays valid until the next call. Throws InputError.
+    /// Handles all events of a batch, lets the affected planners decide, and returns their actions. The reply
+    /// stays valid until the next call. Throws InputError if the batch is malformed.
     std::span<const std::byte> play(const BatchHeader& header, std::span<const std::byte> body);
 
 private:
     struct EventHandler;
+    /// Returns nullptr if the code is unknown.
     static const EventHandler* findHandler(std::uint8_t code);
 
     void handleEvent(std::uint8_t code, std::span<const std::byte> fields, std::size_t offset);
-    void noticeUnknownEvent(std::uint8_t code, std::size_t offset);
+    /// Gives a notice the first time that a code occurs.
+    void reportUnknownEvent(std::uint8_t code, std::size_t offset);
+    /// Lets each planner that had an event in the batch decide, in the order of their first events.
     void decide();
 
-    // One handler for each event: it reads all its fields and hands them to the planner.
+    // One handler for each event. It reads all fields of the event and passes them to the planner.
     void handleDemandReport(FieldReader& reader);
     void handleTimerExpired(FieldReader& reader);
     void handleProxyLeft(FieldReader& reader);
@@ -51,22 +55,23 @@
     void handleProbeCompleted(FieldReader& reader);
     void handleEndpointUpdate(FieldReader& reader);
     void handleLoadReport(FieldReader& reader);
-    // Read for their form only.
+    // These handlers validate the fields and ignore them.
     void handleRangeHeld(FieldReader& reader);
     void handleRangeLeased(FieldReader& reader);
     void handleRangeLoad(FieldReader& reader);
     void handlePeerMessage(FieldReader& reader);
 
-    /// The instance of that number, with the batch begun on its planner. Throws InputError: it was never opened.
+    /// Returns an open instance and, at its first event of the batch, calls beginBatch() on its planner.
+    /// Throws InputError if the instance is not open.
     PlannerInstance& instanceInBatch(std::uint32_t number, const FieldReader& reader);
 
     Notice notice_;
     Micros clock_{};
     ReplyWriter reply_;
     std::map<std::uint32_t, std::unique_ptr<PlannerInstance>> instances_;
-    std::vector<std::uint32_t> inBatch_; // instances in the order of their first event of the batch
+    std::vector<std::uint32_t> instancesInBatch_; // in the order of their first event of the batch
     std::array<std::vector<EndpointUpdate>, kEndpointListSlots> endpointLists_;
-    std::array<bool, 256> unknownEventsNoticed_{}; // by code
+    std::array<bool, 256> unknownEventsReported_{}; // by code
 };
 
 } // namespace zincstack::simwire
--- a/src/simwire/main.cpp
+++ b/src/simwire/main.cpp
@@ -1,4 +1,5 @@
-// zincstack_simhost: the planners of one process on the simulator's wire, standard input to standard output.
+// zincstack_simhost: runs planners for the simulator. Reads batches from standard input and writes a reply to
+// each of them to standard output.
 #include <cstdio>
 #include <cstdlib>
 #include <exception>
@@ -18,8 +19,8 @@
     return std::fwrite(reply.data(), 1, reply.size(), stdout) == reply.size() && std::fflush(stdout) == 0;
 }
 
-/// Plays batches until the input is over. False: a reply could not be written.
-bool playAll() {
+/// Handles batches until the input ends. Returns false if a reply could not be written.
+bool runBatches() {
     zincstack::simwire::Host host(printNotice);
     zincstack::simwire::BatchInput input(stdin);
     zincstack::simwire::Batch batch;
@@ -32,8 +33,8 @@
 
 int main() {
     try {
-        if (playAll()) return EXIT_SUCCESS;
-        printNotice("the reply could not be written");
+        if (runBatches()) return EXIT_SUCCESS;
+        printNotice("cannot write a reply to standard output");
     } catch (const std::exception& error) { printNotice(error.what()); }
     return EXIT_FAILURE;
 }
--- a/src/simwire/planner_instance.h
+++ b/src/simwire/planner_instance.h
@@ -1,4 +1,4 @@
-// One planner that the host runs on behalf of the simulator, with its sink and the layout of its load reports.
+// One planner that the host runs for the simulator, with its sink and the column names of its load reports.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +15,14 @@
 
 namespace zincstack::simwire {
 
-/// Owns a planner. A planner that throws has failed for good: the failure is written to the reply, and later calls
-/// are ignored, so that one instance can't harm the others of its process.
+/// Owns a planner and isolates the other instances of the process from its failure: if it throws, the failure
+/// is written to the reply, and all later calls are ignored.
 class PlannerInstance {
 public:
     PlannerInstance(ReplyWriter& reply, std::uint32_t number, std::uint64_t seed,
                     const config::StartSettings& settings);
 
-    /// Runs `call` on the planner, unless it has failed.
+    /// Calls `call` with the planner, unless the planner has failed.
     template <class Call>
     void run(const Call& call) {
         if (failed_) return;
@@ -31,10 +31,10 @@
         } catch (const std::exception& error) { recordFailure(error.what()); }
     }
 
-    /// Names of the fields of a load report, in the order of the wire.
+    /// Names of the fields of a load report, in the order in which the simulator sends them.
     const std::vector<std::string>& reportColumns() const { return reportColumns_; }
 
-    bool isInBatch = false; ///< the planner has had an input in the batch that is played
+    bool isInBatch = false; ///< the planner has had an event in the current batch
 
 private:
     void recordFailure(std::string_view what);
--- a/src/simwire/wire_sink.cpp
+++ b/src/simwire/wire_sink.cpp
@@ -21,7 +21,7 @@
 
 void WireSink::setAdmission(std::optional<TableId> table, RequestClassSet classes, double level,
                             RetryPolicy retryPolicy) {
-    reply_.record(ActionCode::SetAdmission, instance_, table ? table->value : kEveryTable, classes,
+    reply_.record(ActionCode::SetAdmission, instance_, table ? table->value : kAllTables, classes,
                   static_cast<float>(level), static_cast<std::uint8_t>(retryPolicy));
 }
 
--- a/src/simwire/wire_sink.h
+++ b/src/simwire/wire_sink.h
@@ -1,4 +1,4 @@
-// The updates of one hosted planner, written as actions into the reply of a batch.
+// Encodes the updates of one planner as actions in the reply to a batch.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,8 @@
 
 namespace zincstack::simwire {
 
-/// Writes each update at once, under the number of its instance. `reply` must outlive the sink.
+/// Appends each update to the reply without buffering, with the number of the planner instance. `reply` must
+/// outlive the sink.
 class WireSink final : public RoutingUpdateSink {
 public:
     WireSink(ReplyWriter& reply, std::uint32_t instance) : reply_(reply), instance_(instance) {}
--- a/tests/simwire_test.cpp
+++ b/tests/simwire_test.cpp
@@ -1,4 +1,4 @@
-// The host on the simulator's wire: batches in, replies out, and messages on what is malformed.
+// Tests of the simulator's host: replies to batches, and error messages about malformed batches.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -48,7 +48,7 @@
     static Bytes opening(std::uint32_t instance) {
         return {instance, std::uint64_t{3}, static_cast<std::uint32_t>(kStartText.size()), kStartText};
     }
-    /// A list of that many ready endpoints, under the number 0.
+    /// An endpoint list with number 0 and `count` ready endpoints.
     static Bytes endpointList(std::uint32_t count, float weight = 1) {
         Bytes out(kZero16, count);
         for (std::uint32_t number = 0; number < count; ++number)
@@ -56,11 +56,13 @@
                           kZero16, kZero8));
         return out;
     }
-    static Bytes listUpdate(std::uint32_t instance) { return {instance, kZero8, std::uint64_t{1}, kZero16}; }
+    static Bytes endpointUpdate(std::uint32_t instance) {
+        return {instance, kZero8, std::uint64_t{1}, kZero16};
+    }
     static Bytes joined(std::uint32_t instance) {
         return {instance, std::uint16_t{2}, std::uint8_t{1}, 9.0F, std::uint8_t{1}};
     }
-    /// Codes of a reply's actions, in order.
+    /// Codes of the actions of a reply, in order.
     static std::vector<int> codes(std::span<const std::byte> reply) {
         EXPECT_EQ(valueAt<std::uint32_t>(reply, 0), reply.size() - 4);
         std::vector<int> out;
@@ -71,35 +73,40 @@
     }
 };
 
-TEST_F(SimwireHost, EmptyBatchGetsEmptyReplyAndUnknownEventOneNotice) {
+// An unknown event code must be skipped, with a notice only the first time, so that a newer simulator neither
+// stops the host nor floods its log.
+TEST_F(SimwireHost, RepliesToEmptyBatchAndWarnsOncePerUnknownEventCode) {
     EXPECT_TRUE(codes(play(0, {})).empty());
     play(2, Bytes().record(77, {1.0}).record(77, {2.0}));
     EXPECT_EQ(notices.size(), 1U);
 }
 
-TEST_F(SimwireHost, EndpointListAndProxyJoinYieldWeightsAndATable) {
+TEST_F(SimwireHost, AssignsTableWithWeightsToJoinedProxy) {
     Bytes body;
-    body.record(7, opening(3)).record(10, endpointList(2)).record(13, listUpdate(3)).record(8, joined(3));
+    body.record(7, opening(3)).record(10, endpointList(2)).record(13, endpointUpdate(3)).record(8, joined(3));
     const auto reply = play(4, body);
     const auto seen = codes(reply);
-    EXPECT_EQ(std::ranges::count(seen, 8), 2); // the table of the proxy's zone alone
+    // One weight per endpoint: only the table of the proxy's zone is built.
+    EXPECT_EQ(std::ranges::count(seen, 8), 2);
     EXPECT_EQ(std::ranges::count(seen, 7), 1);
     EXPECT_EQ(seen.back(), 12);
-    const std::size_t line = 4 + 5 + 20; // after SCHEDULE
-    EXPECT_EQ(valueAt<std::uint32_t>(reply, line + 5), 3U);
-    EXPECT_EQ(valueAt<std::uint32_t>(reply, line + 9), 0x0a000001U);
-    EXPECT_EQ(valueAt<float>(reply, line + 17), 1.0F);
+    const std::size_t firstWeight = 4 + 5 + 20; // the record after SCHEDULE
+    EXPECT_EQ(valueAt<std::uint32_t>(reply, firstWeight + 5), 3U);
+    EXPECT_EQ(valueAt<std::uint32_t>(reply, firstWeight + 9), 0x0a000001U);
+    EXPECT_EQ(valueAt<float>(reply, firstWeight + 17), 1.0F);
 }
 
-/// What opens an instance with so many endpoints listed and one proxy joined: four records.
+/// Appends four records that open an instance, list `endpoints` endpoints and join one proxy.
 Bytes& openWithProxy(Bytes& body, std::uint32_t instance, std::uint32_t endpoints) {
     return body.record(7, SimwireHost::opening(instance))
         .record(10, SimwireHost::endpointList(endpoints))
-        .record(13, SimwireHost::listUpdate(instance))
+        .record(13, SimwireHost::endpointUpdate(instance))
         .record(8, SimwireHost::joined(instance));
 }
 
-TEST_F(SimwireHost, ListNumberIsResolvedAtTheEventAndClosedInstanceStartsAnew) {
+// A list number may be reused within a batch, so an update has to apply the list as it is at that point. An
+// instance that is reopened after HALT must not keep the endpoints of its predecessor.
+TEST_F(SimwireHost, AppliesCurrentListOfReusedNumberAndDropsStateOfClosedInstance) {
     Bytes first;
     Bytes second;
     EXPECT_EQ(std::ranges::count(codes(play(8, openWithProxy(openWithProxy(first, 1, 3), 2, 1))), 8), 4);
@@ -120,8 +127,8 @@
         {2, Bytes().record(9, {3U}), "record 1.code"},
         {0, Bytes(1.0), "batch.length"},
         {1, Bytes().record(10, {kZero16, 0xffffffffU}), "POOL.NodesList"},
-        {1, Bytes().record(10, endpointList(1, -1)), "a weight below 0"},
-        {1, Bytes().record(4, {8U, kZero16}), "never opened"},
+        {1, Bytes().record(10, endpointList(1, -1)), "weight is negative"},
+        {1, Bytes().record(4, {8U, kZero16}), "instance 8 is not open"},
         {2, Bytes().record(7, opening(3)).record(1, {3U, 1U, kZero16, kZero16, nan, 0U}), "INTAKE.ElapsedS"}};
     for (const auto& [records, body, error] : cases)
         EXPECT_NE(errorAfter(records, body).find(error), std::string::npos) << error;
