--- a/examples/watch.cpp
+++ b/examples/watch.cpp
@@ -1,7 +1,8 @@
-// An example of the client library: a client that subscribes to the first planner that answers, picks an endpoint by
-// weight for a request once a second, and reports its demand.
+// Example of the client library. Subscribes to the first planner that answers. Once a second it picks an
+// endpoint for a request, at random in proportion to the weights, and reports its demand.
 //
-//   zincstack_example_watch 127.0.0.1:9400
+// Usage: zincstack_example_watch ADDRESS...
+//   ADDRESS  address and port of a planner, for example 127.0.0.1:9400
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 
@@ -23,7 +24,8 @@
 constexpr const char* kRequestClass = "lookup";
 constexpr std::uint32_t kRequestsPerSecond = 20;
 
-/// An endpoint for a request of the class, drawn by weight among those that may be used; empty: none is known.
+/// Picks an eligible endpoint for a request of the class, at random in proportion to the weights. Returns an
+/// empty string if there is none.
 std::string pickEndpoint(const pubsub::Replica& replica, const char* requestClass, std::mt19937& random) {
     const pubsub::RoutingTable* table = replica.tableOf(requestClass);
     if (!table) return {};
@@ -54,7 +56,7 @@
     const auto subscriber = std::make_shared<client::SubscriptionClient>(
         io, planners, identity, client::ReconnectConfig{}, std::random_device{}(), 10s,
         [](std::optional<pubsub::TopicId> topic) {
-            if (topic) std::printf("topic %u has changed\n", topic->value);
+            if (topic) std::printf("topic %u changed\n", topic->value);
         },
         [](const std::string& line) { std::printf("%s\n", line.c_str()); });
     subscriber->start();
@@ -67,8 +69,8 @@
             if (error) return;
             const std::string endpoint =
                 pickEndpoint(subscriber->subscription().replica(), kRequestClass, random);
-            std::printf("a %s would go to %s\n", kRequestClass,
-                        endpoint.empty() ? "nobody" : endpoint.c_str());
+            std::printf("request of class %s: endpoint %s\n", kRequestClass,
+                        endpoint.empty() ? "none available" : endpoint.c_str());
             subscriber->reportDemand(kRequestClass, kRequestsPerSecond, 0, 1s);
             sendRequests();
         });
--- a/fuzz/frames.cpp
+++ b/fuzz/frames.cpp
@@ -1,4 +1,5 @@
-// Fuzzer of the pub-sub channel: any bytes as a stream of frames, to the client's side and to the server's.
+// Fuzzer of the pub-sub channel: feeds arbitrary bytes as a stream of frames to the decoders of client and
+// server.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -10,24 +11,25 @@
 
 using namespace zincstack;
 
-constexpr std::size_t kMaxPieceBytes = 64;
+constexpr std::size_t kMaxChunkBytes = 64;
 constexpr Micros kConnectedAt{1};
 constexpr Micros kReceivedAt{2};
 
-/// What a subscriber makes of the bytes, cut into pieces.
-void feedClient(std::string_view bytes, std::size_t pieceBytes) {
+/// Feeds the bytes in chunks to the client's subscription, until it ends the session.
+void feedClient(std::string_view bytes, std::size_t chunkBytes) {
     client::Subscription subscription({ProxyId{1}, "a", 1}, std::chrono::seconds(10));
     subscription.connected(kConnectedAt);
-    for (std::size_t at = 0; at < bytes.size() && subscription.usable(); at += pieceBytes)
-        subscription.feed(bytes.substr(at, pieceBytes), kReceivedAt);
+    for (std::size_t offset = 0; offset < bytes.size() && subscription.usable(); offset += chunkBytes)
+        subscription.feed(bytes.substr(offset, chunkBytes), kReceivedAt);
 }
 
-/// What the server makes of them. It never holds more than one frame may have.
-void feedServer(std::string_view bytes, std::size_t pieceBytes) {
+/// Feeds the bytes in chunks to the server's frame reader, until it rejects them. Aborts if the reader
+/// buffers more than the size limit of a frame.
+void feedServer(std::string_view bytes, std::size_t chunkBytes) {
     pubsub::FrameReader reader(pubsub::kMaxClientFrameBytes);
     bool isOpen = true;
-    for (std::size_t at = 0; at < bytes.size() && isOpen; at += pieceBytes) {
-        isOpen = !reader.feed(bytes.substr(at, pieceBytes), [](pubsub::Frame& frame) {
+    for (std::size_t offset = 0; offset < bytes.size() && isOpen; offset += chunkBytes) {
+        isOpen = !reader.feed(bytes.substr(offset, chunkBytes), [](pubsub::Frame& frame) {
             pubsub::decodeHello(frame.body);
             pubsub::decodeDemandRecord(frame.body);
             pubsub::decodeDisconnectNotice(frame.body);
@@ -39,12 +41,13 @@
 
 } // namespace
 
-// NOLINTNEXTLINE(readability-identifier-naming): libFuzzer prescribes the name.
+// NOLINTNEXTLINE(readability-identifier-naming): the name is required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     if (size == 0) return 0;
-    const std::size_t pieceBytes = data[0] % kMaxPieceBytes + 1;
+    // The first byte selects the chunk size.
+    const std::size_t chunkBytes = data[0] % kMaxChunkBytes + 1;
     const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-    feedClient(bytes, pieceBytes);
-    feedServer(bytes, pieceBytes);
+    feedClient(bytes, chunkBytes);
+    feedServer(bytes, chunkBytes);
     return 0;
 }
--- a/fuzz/operator.cpp
+++ b/fuzz/operator.cpp
@@ -1,4 +1,5 @@
-// Fuzzer of the settings: any text as an operator's file or a start file leads to errors, and to nothing worse.
+// Fuzzer of the configuration readers: for arbitrary text as an operator file or a start file they must
+// return normally or throw InputError.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -12,7 +13,8 @@
 
 using namespace zincstack;
 
-/// The errors that `check` lists and those that `run` fails with must agree.
+/// Aborts if findOperatorConfigErrors(), which the command `check` uses, and readOperatorConfig(), which
+/// `run` uses, disagree on whether the text is valid.
 void readAsOperatorFile(std::string_view text) {
     const bool isValid = config::findOperatorConfigErrors(text).empty();
     try {
@@ -27,13 +29,13 @@
     try {
         config::readStartSettings(config::parseStartFile(text).settings);
     } catch (const InputError&) {
-        // Expected of nearly every text.
+        // Expected: nearly all inputs are invalid.
     }
 }
 
 } // namespace
 
-// NOLINTNEXTLINE(readability-identifier-naming): libFuzzer prescribes the name.
+// NOLINTNEXTLINE(readability-identifier-naming): the name is required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::string_view text(reinterpret_cast<const char*>(data), size);
     readAsOperatorFile(text);
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,5 +1,5 @@
-// Replays a corpus without libFuzzer: feeds every file of the given folders to the fuzzer's function, and every prefix
-// of the small ones.
+// Replays a corpus without libFuzzer: passes each file of the given folders, and each prefix of the small
+// files, to the fuzzer's entry point. Fails if the folders contain no file.
 #include <cstddef>
 #include <cstdint>
 #include <cstdio>
@@ -9,13 +9,14 @@
 #include <iterator>
 #include <string>
 
-// NOLINTNEXTLINE(readability-identifier-naming): libFuzzer prescribes the name.
+// NOLINTNEXTLINE(readability-identifier-naming): the name is required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
 
 namespace {
 
-/// Prefixes of larger files would take a time that grows with the square of their size.
-constexpr std::size_t kMaxPrefixedBytes = 4096;
+/// Larger files are replayed without their prefixes, since the time for all prefixes grows with the square of
+/// the size.
+constexpr std::size_t kMaxBytesForPrefixes = 4096;
 
 std::string readFile(const std::filesystem::path& path) {
     std::ifstream file(path, std::ios::binary);
@@ -25,7 +26,7 @@
 void replay(const std::string& bytes) {
     const auto* const data = reinterpret_cast<const std::uint8_t*>(bytes.data());
     LLVMFuzzerTestOneInput(data, bytes.size());
-    if (bytes.size() > kMaxPrefixedBytes) return;
+    if (bytes.size() > kMaxBytesForPrefixes) return;
     for (std::size_t size = 0; size < bytes.size(); ++size) LLVMFuzzerTestOneInput(data, size);
 }
 
@@ -38,6 +39,6 @@
             replay(readFile(entry.path()));
             ++replayed;
         }
-    std::printf("%d inputs\n", replayed);
+    std::printf("replayed %d files\n", replayed);
     return replayed > 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
