--- a/bench/bench.h
+++ b/bench/bench.h
@@ -1,4 +1,5 @@
-// Measurements by name: `zincstack_bench NAME [--quick]`. The last line of each is one JSON object of figures.
+// Benchmarks of zincstack_bench and helpers that they share. `zincstack_bench NAME [--quick]` runs one
+// benchmark; the last line of its output is a JSON object with the results.
 #pragma once
 
 #include <algorithm>
@@ -10,21 +11,22 @@
 
 namespace zincstack::bench {
 
-// The measurements; `quick` takes a few seconds and is no more than a check that they run.
+// The benchmarks. Each returns its results. With `quick` a benchmark takes a few seconds and only checks that
+// it runs; its results are not meaningful.
 nlohmann::ordered_json pubsub(bool quick);
 nlohmann::ordered_json json(bool quick);
 nlohmann::ordered_json planner(bool quick);
 
-/// The value that so many percent do not exceed; 0 where there are none.
+/// The given percentile of the values; 0 if there are no values.
 inline double percentile(std::vector<double> values, double percent) {
     if (values.empty()) return 0;
     std::ranges::sort(values);
     const auto rank = static_cast<std::size_t>(percent / 100 * static_cast<double>(values.size()));
     return values[std::min(rank, values.size() - 1)];
 }
-/// Bytes of this process that are in use on its heap.
+/// Bytes in use on the heap of this process.
 std::size_t heapBytes();
-/// CPU time that this process has used, in microseconds.
+/// CPU time (user and system) of this process, in microseconds.
 double cpuMicros();
 
 } // namespace zincstack::bench
--- a/bench/json_bench.cpp
+++ b/bench/json_bench.cpp
@@ -1,4 +1,4 @@
-// How long an endpoint list takes to parse, and how much memory the parsed list needs.
+// Benchmark `json`: time to parse an endpoint list, and memory of the parsed list.
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -10,29 +10,31 @@
 
 namespace {
 
-constexpr int kSmallList = 30;
-constexpr int kLargeList = 1000;
-constexpr int kFirstEndpoint = 0x5be2a07c;
+constexpr int kSmallListEndpoints = 30;
+constexpr int kLargeListEndpoints = 1000;
+constexpr int kFirstEndpointNumber = 0x5be2a07c;
 
+/// An endpoint list in the format of the discovery service.
 std::string endpointListText(int endpoints) {
     std::string out = R"({"revision":41,"complete":true,"members":[)";
     for (int number = 0; number < endpoints; ++number) {
         if (number > 0) out += ",";
-        out += R"({"id":"s-)" + std::to_string(kFirstEndpoint + number);
+        out += R"({"id":"s-)" + std::to_string(kFirstEndpointNumber + number);
         out += R"(","host_port":"10.1.0.18:9000","locality":"a","flavor":"m2","cell":3,"phase":"Ready",)";
         out += R"("size":1.0,"up_since_ms":1790000000000})";
     }
     return out + "]}";
 }
 
+/// The function's name is part of the names of the results.
 void readsAList(benchmark::State& state) {
     const std::string text = endpointListText(static_cast<int>(state.range(0)));
     for ([[maybe_unused]] const auto iteration : state) benchmark::DoNotOptimize(json::read(text));
     state.SetBytesProcessed(static_cast<std::int64_t>(text.size()) * state.iterations());
 }
-BENCHMARK(readsAList)->Arg(kSmallList)->Arg(kLargeList)->Unit(benchmark::kMicrosecond);
+BENCHMARK(readsAList)->Arg(kSmallListEndpoints)->Arg(kLargeListEndpoints)->Unit(benchmark::kMicrosecond);
 
-/// Prints the runs as the library does, and keeps their times for the line of JSON.
+/// Prints the runs like its base class, and collects their times for the JSON output.
 class FigureReporter : public benchmark::ConsoleReporter {
 public:
     void ReportRuns(const std::vector<Run>& runs) override {
@@ -57,7 +59,7 @@
     initializeLibrary(quick);
     FigureReporter reporter;
     benchmark::RunSpecifiedBenchmarks(&reporter);
-    const std::string text = endpointListText(kLargeList);
+    const std::string text = endpointListText(kLargeListEndpoints);
     const std::size_t before = heapBytes();
     const auto tree = zincstack::json::read(text);
     reporter.figures["tree_of_1000_bytes"] = heapBytes() - before;
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,4 +1,4 @@
-// zincstack_bench: runs one measurement by its name.
+// zincstack_bench: runs the benchmark that the first argument names.
 #include <malloc.h>
 #include <sys/resource.h>
 
@@ -14,26 +14,27 @@
 
 namespace {
 
-constexpr int kWrongUsage = 2;
+constexpr int kUsageErrorExitCode = 2;
 
-struct Measurement {
+struct Benchmark {
     std::string_view name;
     nlohmann::ordered_json (*run)(bool quick);
 };
-constexpr std::array kMeasurements = {Measurement{"pubsub", pubsub}, Measurement{"json", json},
-                                      Measurement{"planner", planner}};
+constexpr std::array kBenchmarks = {Benchmark{"pubsub", pubsub}, Benchmark{"json", json},
+                                    Benchmark{"planner", planner}};
 
 int printUsage() {
-    std::fprintf(stderr, "zincstack_bench NAME [--quick]; names:");
-    for (const Measurement& measurement : kMeasurements)
-        std::fprintf(stderr, " %.*s", static_cast<int>(measurement.name.size()), measurement.name.data());
+    std::fprintf(stderr, "usage: zincstack_bench NAME [--quick]\n--quick  a run of a few seconds, which only "
+                         "checks that the benchmark works\nNAME is one of:");
+    for (const Benchmark& benchmark : kBenchmarks)
+        std::fprintf(stderr, " %.*s", static_cast<int>(benchmark.name.size()), benchmark.name.data());
     std::fprintf(stderr, "\n");
-    return kWrongUsage;
+    return kUsageErrorExitCode;
 }
 
 int runByName(std::string_view name, bool quick) {
-    const auto found = std::ranges::find(kMeasurements, name, &Measurement::name);
-    if (found == kMeasurements.end()) return printUsage();
+    const auto found = std::ranges::find(kBenchmarks, name, &Benchmark::name);
+    if (found == kBenchmarks.end()) return printUsage();
     std::printf("%s\n", found->run(quick).dump().c_str());
     return 0;
 }
--- a/bench/planner_bench.cpp
+++ b/bench/planner_bench.cpp
@@ -1,7 +1,9 @@
-// Decision time and memory of the decision module alone: 400 proxies and 300 endpoints, in simulated time.
+// Benchmark `planner`: decision time and memory of one planner with 400 proxies and 300 endpoints, in
+// simulated time.
 //
-// A seeded schedule plays against makePlanner() with a sink that only records updates. Nothing depends on the clock
-// of the machine, so two builds that decide alike order the same updates: their number and checksum are printed.
+// A seeded schedule of inputs is passed to a planner whose sink only records its updates. The inputs don't
+// depend on the system clock, so two builds that make the same decisions produce the same updates. The number
+// and the checksum of the updates are printed for comparison.
 #include <algorithm>
 #include <bit>
 #include <chrono>
@@ -26,14 +28,14 @@
 constexpr std::uint64_t kSeed = 20261202;
 constexpr std::uint16_t kProxyCount = 400;
 constexpr std::uint64_t kEndpointCount = 300;
-constexpr std::uint64_t kReleaseSize = 30; // endpoints that a release drains, and as many that it adds
+constexpr std::uint64_t kReleaseSize = 30; // endpoints that a release adds, and the number that it drains
 constexpr std::uint8_t kZoneCount = 3;
 constexpr std::uint16_t kRequestClassCount = 3;
-constexpr std::uint64_t kFailingEvery = 60; // every such endpoint fails for a part of the run
-constexpr std::uint16_t kRejoinsAtOnce = 4;
+constexpr std::uint64_t kFailingEndpointInterval = 60; // one endpoint in 60 fails during a part of the run
+constexpr std::uint16_t kProxiesPerRejoin = 4;
 constexpr std::uint32_t kAttemptsPerReport = 40;
 constexpr std::uint32_t kRequestsPerReport = 30;
-constexpr double kUsualRate = 90; // requests a second of a proxy, as it says when it joins
+constexpr double kExpectedRate = 90; // requests per second that a proxy announces when it joins
 
 constexpr Micros kBatchInterval = 50ms;
 constexpr Micros kReportInterval = 1s;
@@ -46,7 +48,7 @@
 constexpr double kMessageOverheadLines = 6;
 constexpr double kMaxQueuedLines = 60'000;
 
-/// One recorded update, as small as the channel model and the checksum need it.
+/// One recorded update: only what the channel model and the checksum need.
 struct RecordedUpdate {
     enum class Kind : std::uint8_t {
         Weight,
@@ -65,16 +67,17 @@
     double value = 0;
 };
 
-/// Records updates and does nothing else, so that the time of a decision is the planner's own.
+/// Only records updates, so that the measured time of a decision is spent in the planner.
 class RecordingSink final : public RoutingUpdateSink {
 public:
     using Kind = RecordedUpdate::Kind;
-    static constexpr std::size_t kReservedUpdates = 1U << 18U; // no allocation of the sink's while measuring
+    /// Avoids allocations in the sink while measuring.
+    static constexpr std::size_t kReservedUpdates = 1U << 18U;
 
     RecordingSink() { updates.reserve(kReservedUpdates); }
 
-    std::vector<RecordedUpdate> updates; ///< of the current batch
-    double queuedLines = 0;              ///< what the channel model still has to transmit
+    std::vector<RecordedUpdate> updates; ///< updates of the current batch
+    double queuedLines = 0;              ///< lines that the channel model has not yet transmitted
     std::optional<Micros> wakeUpAfter;
 
     void setWeight(TableId table, EndpointId endpoint, double weight) override {
@@ -101,7 +104,8 @@
     bool supportsReassignment(ProxyId) const override { return true; }
 };
 
-/// Messages to proxies in one queue that is drained at a fixed rate; a proxy acknowledges after the transit time.
+/// Model of the control channel: one queue of messages to proxies, drained at a fixed rate. A proxy
+/// acknowledges a message kMeanTransitTime after its last line was sent.
 class ChannelModel {
 public:
     struct Message {
@@ -111,19 +115,21 @@
         Micros acknowledgedAt{};
     };
 
-    ChannelModel() : openLines_(kProxyCount, 0), tableOf_(kProxyCount) {
+    ChannelModel() : unclosedLines_(kProxyCount, 0), tableOf_(kProxyCount) {
         messages_.reserve(kReservedMessages);
     }
 
     double queuedLines() const { return queuedLines_; }
     void forgetProxy(std::uint16_t proxy) {
         tableOf_[proxy].reset();
-        openLines_[proxy] = 0;
+        unclosedLines_[proxy] = 0;
     }
-    /// Puts the updates of a batch into messages; those without a barrier are no part of the channel.
+    /// Adds the updates of a batch to the messages of the proxies concerned. A message enters the queue when
+    /// a barrier closes it.
     void enqueue(std::span<const RecordedUpdate> updates) {
         for (const RecordedUpdate& update : updates) enqueueOne(update);
     }
+    /// Sends as many lines as the channel carries in one batch interval.
     void transmit(Micros now) {
         double budget = kLinesPerSecond * std::chrono::duration<double>(kBatchInterval).count();
         while (nextToSend_ < messages_.size() && budget > 0) {
@@ -137,7 +143,7 @@
             ++nextToSend_;
         }
     }
-    /// The next message that its proxy has applied by now; null: there is none.
+    /// Returns the next message that has been acknowledged by `now`, or nullptr if there is none.
     const Message* takeAcknowledged(Micros now) {
         if (nextToAcknowledge_ >= nextToSend_) return nullptr;
         const Message& message = messages_[nextToAcknowledge_];
@@ -148,9 +154,9 @@
 
 private:
     using Kind = RecordedUpdate::Kind;
-    static constexpr std::size_t kReservedMessages = 1U
-                                                     << 20U; // no allocation of the model's while measuring
-    static constexpr double kLinesPerAssignment = 40;        // a starter table, or a part of a whole one
+    /// Avoids allocations in the model while measuring.
+    static constexpr std::size_t kReservedMessages = 1U << 20U;
+    static constexpr double kLinesPerAssignment = 40; // a bootstrap table, or a part of a full table
 
     void enqueueOne(const RecordedUpdate& update) {
         switch (update.kind) {
@@ -170,18 +176,18 @@
         for (std::uint16_t proxy = 0; proxy < kProxyCount; ++proxy)
             if (tableOf_[proxy] == table) addLines(proxy, 1);
     }
-    void addLines(std::uint16_t proxy, double lines) { openLines_[proxy] += lines; }
+    void addLines(std::uint16_t proxy, double lines) { unclosedLines_[proxy] += lines; }
     void closeMessages(std::uint16_t barrier) {
         for (std::uint16_t proxy = 0; proxy < kProxyCount; ++proxy) {
-            if (openLines_[proxy] <= 0) continue;
-            const double lines = openLines_[proxy] + kMessageOverheadLines;
+            if (unclosedLines_[proxy] <= 0) continue;
+            const double lines = unclosedLines_[proxy] + kMessageOverheadLines;
             messages_.push_back({proxy, barrier, lines, Micros{}});
             queuedLines_ += lines;
-            openLines_[proxy] = 0;
+            unclosedLines_[proxy] = 0;
         }
     }
 
-    std::vector<double> openLines_; // by proxy: ordered since the last barrier
+    std::vector<double> unclosedLines_; // by proxy: lines of its message that no barrier has closed yet
     std::vector<std::optional<std::uint16_t>> tableOf_;
     std::vector<Message> messages_;
     std::size_t nextToSend_ = 0;
@@ -189,7 +195,7 @@
     double queuedLines_ = 0;
 };
 
-/// FNV-1a over what was ordered, in order.
+/// FNV-1a over the updates in their order.
 class UpdateChecksum {
 public:
     void add(const RecordedUpdate& update) {
@@ -211,10 +217,10 @@
 
 std::uint8_t zoneOf(std::uint64_t number) { return static_cast<std::uint8_t>(number % kZoneCount); }
 
-/// Half of the proxies come with the whole table of an earlier planner.
+/// Proxies with an odd number, half of them, join with a full table from an earlier planner.
 bool hasOnlyBootstrapTable(std::uint16_t proxy) { return proxy % 2 == 0; }
 
-/// Plays the schedule: reports each second, failing endpoints, a release, and proxies that leave and join again.
+/// Runs the schedule: reports each second, failing endpoints, a release, and proxies that leave and rejoin.
 class PlannerRun {
 public:
     explicit PlannerRun(Micros duration) : end_(kStart + duration), random_(kSeed) {
@@ -229,11 +235,11 @@
         plannerBytes_ += static_cast<std::int64_t>(heapBytes() - before);
     }
 
-    nlohmann::ordered_json play() {
+    nlohmann::ordered_json run() {
         for (; now_ < end_; now_ += kBatchInterval) {
             channel_.transmit(now_);
             prepareInputs();
-            playBatch();
+            runBatch();
             recordUpdates();
         }
         return figures();
@@ -264,20 +270,23 @@
         return kClasses;
     }
 
-    // ---- schedule ------------------------------------------------------------------------------------------
+    // ---- schedule -----------------------------------------------------------------------------------------
 
-    Micros at(double fraction) const {
+    /// The time after the given fraction of the run, rounded down to the start of a batch.
+    Micros timeAt(double fraction) const {
         const double span = fraction * static_cast<double>((end_ - kStart).count());
         const Micros exact{static_cast<std::int64_t>(span)};
         return kStart + exact / kBatchInterval * kBatchInterval;
     }
-    bool endpointsFail() const { return now_ >= at(0.3) && now_ < at(0.5); }
-    bool fails(EndpointId endpoint) const { return endpointsFail() && endpoint.value % kFailingEvery == 7; }
+    bool endpointsFail() const { return now_ >= timeAt(0.3) && now_ < timeAt(0.5); }
+    bool fails(EndpointId endpoint) const {
+        return endpointsFail() && endpoint.value % kFailingEndpointInterval == 7;
+    }
 
     void addEndpoint(std::uint64_t id, Micros startedAt) {
         endpoints_.push_back({{id}, EndpointState::Ready, startedAt, 1, {0}, {zoneOf(id)}});
     }
-    /// Makes the inputs of this batch beforehand, so that only the planner's work is measured.
+    /// Creates the inputs of this batch in advance, so that only the planner's work is measured.
     void prepareInputs() {
         loadReports_.clear();
         demandReports_.clear();
@@ -285,9 +294,9 @@
         joining_.clear();
         leaving_.clear();
         joinOrLeave();
-        if (now_ == at(0.4)) startRelease();
-        if (now_ == at(0.5)) drainReleased(EndpointState::Draining);
-        if (now_ == at(0.8)) drainReleased(EndpointState::Removed);
+        if (now_ == timeAt(0.4)) startRelease();
+        if (now_ == timeAt(0.5)) drainReleased(EndpointState::Draining);
+        if (now_ == timeAt(0.8)) drainReleased(EndpointState::Removed);
         if ((now_ - kStart) % kReportInterval == Micros{} && now_ > kStart) makeReports();
     }
     void joinOrLeave() {
@@ -296,7 +305,7 @@
         if (now_ == kStart) return;
         joining_.swap(rejoining_);
         if ((now_ - kStart) % kRejoinInterval != Micros{}) return;
-        for (std::uint16_t count = 0; count < kRejoinsAtOnce; ++count) {
+        for (std::uint16_t count = 0; count < kProxiesPerRejoin; ++count) {
             const auto proxy = static_cast<std::uint16_t>(random_() % kProxyCount);
             if (std::ranges::count(leaving_, proxy) == 0) leaving_.push_back(proxy);
         }
@@ -335,14 +344,15 @@
         return report;
     }
 
-    // ---- batches -------------------------------------------------------------------------------------------
+    // ---- batches ------------------------------------------------------------------------------------------
 
-    /// Only the planner allocates in here.
-    void playBatch() {
+    /// Between the two readings of heapBytes() only the planner allocates, so the difference is its own
+    /// memory.
+    void runBatch() {
         collectAcknowledged();
         const std::size_t before = heapBytes();
         planner_->beginBatch(now_);
-        giveInputs();
+        passInputs();
         const auto started = std::chrono::steady_clock::now();
         planner_->decide();
         const auto ended = std::chrono::steady_clock::now();
@@ -354,12 +364,12 @@
         acknowledged_.clear();
         while (const auto* message = channel_.takeAcknowledged(now_)) acknowledged_.push_back(*message);
     }
-    void giveInputs() {
+    void passInputs() {
         if (now_ == kStart) planner_->updateEndpoints(EndpointListUpdate::Snapshot, endpoints_);
         if (!changes_.empty()) planner_->updateEndpoints(EndpointListUpdate::Delta, changes_);
         for (const std::uint16_t proxy : leaving_) planner_->proxyLeft({proxy});
         for (const std::uint16_t proxy : joining_)
-            planner_->proxyJoined({proxy}, {zoneOf(proxy)}, kUsualRate, hasOnlyBootstrapTable(proxy));
+            planner_->proxyJoined({proxy}, {zoneOf(proxy)}, kExpectedRate, hasOnlyBootstrapTable(proxy));
         for (const auto& report : loadReports_) planner_->reportLoad(report);
         for (const auto& report : demandReports_) planner_->reportDemand(report);
         for (const auto& message : acknowledged_)
@@ -403,7 +413,7 @@
         figures["decision_p50_us"] = percentile(decisionMicros_, 50);
         figures["decision_p99_us"] = percentile(decisionMicros_, 99);
         figures["decision_max_us"] = *std::ranges::max_element(decisionMicros_);
-        figures["peak_bytes"] = peakBytes_; // of what the planner holds between batches
+        figures["peak_bytes"] = peakBytes_; // largest heap use of the planner after any batch
         return figures;
     }
 
@@ -416,14 +426,14 @@
     std::optional<Micros> wakeUpAt_;
 
     std::vector<EndpointUpdate> endpoints_;
-    std::vector<EndpointUpdate> changes_; // the inputs of the current batch, as the six that follow
+    std::vector<EndpointUpdate> changes_; // inputs of the current batch, like the six members below
     std::vector<EndpointLoadReport> loadReports_;
     std::vector<DemandReport> demandReports_;
     std::vector<std::uint16_t> joining_;
     std::vector<std::uint16_t> leaving_;
     std::vector<ChannelModel::Message> acknowledged_;
     std::vector<EndpointId> probed_;
-    std::vector<std::uint16_t> rejoining_; // with the next batch
+    std::vector<std::uint16_t> rejoining_; // proxies that join in the next batch
 
     std::vector<double> decisionMicros_;
     std::int64_t plannerBytes_ = 0;
@@ -435,7 +445,7 @@
 } // namespace
 
 nlohmann::ordered_json planner(bool quick) {
-    return PlannerRun(quick ? kQuickDuration : kFullDuration).play();
+    return PlannerRun(quick ? kQuickDuration : kFullDuration).run();
 }
 
 } // namespace zincstack::bench
--- a/bench/pubsub_bench.cpp
+++ b/bench/pubsub_bench.cpp
@@ -1,6 +1,8 @@
-// The pub-sub channel at size: how long until the last client has a change, what that costs, and what clients that
-// reconnect at once cost. The planner's side runs in this process, all clients in a child; both read one clock. Beside
-// it, in the same run: the whole table at each change, and the platform's protocol.
+// Benchmark `pubsub`: time until all clients have received a change, its cost in bytes and CPU time, the time
+// to catch up after many clients reconnect simultaneously, and memory. The planner's side runs in this
+// process and all clients in a child process; both read the same clock. For comparison, joining and changes
+// are also measured with two other transports: one that sends the whole table at each change, and the
+// platform's protocol.
 #include <sys/mman.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -38,14 +40,15 @@
     return static_cast<double>(steadyMicros() - startMicros) / 1e3;
 }
 
+/// One combination of transport and size.
 struct Scenario {
     Transport transport;
     std::size_t subscribers;
     std::size_t endpoints;
-    int changes; ///< of each kind
+    int changes; ///< number of changes of each kind
 };
 
-/// State in memory that is shared with child processes; freed with the object.
+/// Owns a SharedState in memory that is shared with child processes.
 class SharedMemory {
 public:
     SharedMemory()
@@ -62,7 +65,8 @@
     SharedState* state_;
 };
 
-/// One scenario: joins the clients, then measures changes, reconnects and stalled clients one after another.
+/// Runs one scenario: connects the clients, then measures changes and, for the pub-sub channel, reconnects
+/// and stalled clients.
 class Measurement {
 public:
     explicit Measurement(const Scenario& scenario)
@@ -107,8 +111,8 @@
     double perSubscriber(double total) const { return total / static_cast<double>(scenario_.subscribers); }
     double bytesOut() const { return static_cast<double>(planner_.counters.of(net::Counter::BytesOut)); }
     void waitForAcknowledgments(std::uint64_t count) {
-        const bool held = planner_.runUntil([&] { return planner_.planner.acknowledgments >= count; });
-        isComplete_ = isComplete_ && held;
+        const bool isReached = planner_.runUntil([&] { return planner_.planner.acknowledgments >= count; });
+        isComplete_ = isComplete_ && isReached;
     }
 
     void measureJoin(std::int64_t start, std::size_t heapBefore) {
@@ -119,21 +123,21 @@
         figures_["heap_bytes_each"] = perSubscriber(static_cast<double>(heapBytes() - heapBefore));
     }
 
-    /// Delays in milliseconds from the order of a change to its receipt.
+    /// Delays in milliseconds from the start of a change to its receipt.
     struct Delays {
-        std::vector<double> each; ///< of every client and change
-        std::vector<double> last; ///< of the last client, by change
+        std::vector<double> each; ///< for every client and change
+        std::vector<double> last; ///< for each change, the delay of the last client
     };
-    /// Orders one change and waits until every client has it.
-    void measureChange(const std::function<void()>& orders, Delays& delays) {
+    /// Makes one change and waits until every client has received it.
+    void measureChange(const std::function<void()>& applyChange, Delays& delays) {
         SharedState& shared = shared_.state();
         ++change_;
         shared.currentChange = change_;
         const auto start = steadyMicros();
-        planner_.runBatch(orders);
-        const bool held =
+        planner_.runBatch(applyChange);
+        const bool isReached =
             planner_.runUntil([&] { return shared.receivedBy[change_] >= scenario_.subscribers; });
-        isComplete_ = held && isComplete_;
+        isComplete_ = isReached && isComplete_;
         double last = 0;
         for (std::size_t client = 0; client < scenario_.subscribers; ++client) {
             const auto delay = shared.receivedAtMicros[change_][client] - start;
@@ -141,14 +145,14 @@
             last = std::max(last, delays.each.back());
         }
         delays.last.push_back(last);
-        planner_.runFor(5ms); // acknowledgments arrive
+        planner_.runFor(5ms); // lets the acknowledgments arrive
     }
-    void measureChanges(const char* name, const std::function<void(std::size_t)>& orders) {
+    void measureChanges(const char* name, const std::function<void(std::size_t)>& applyChange) {
         Delays delays;
         const double bytesBefore = bytesOut();
         const double cpuBefore = threadCpuMicros();
         for (int k = 0; k < scenario_.changes; ++k)
-            measureChange([&, k] { orders(static_cast<std::size_t>(k)); }, delays);
+            measureChange([&, k] { applyChange(static_cast<std::size_t>(k)); }, delays);
         figures_[name] = {{"p50_ms", percentile(delays.each, 50)},
                           {"p99_ms", percentile(delays.each, 99)},
                           {"max_ms", percentile(delays.each, 100)},
@@ -165,7 +169,7 @@
         figures_["catch_up_ms"][std::to_string(percent)] = millisSince(start);
     }
 
-    /// Memory while a tenth of the clients read nothing and changes go on.
+    /// Measures the growth of the heap while changes are made and a tenth of the clients read nothing.
     void measureStalledClients() {
         constexpr int kChanges = 200;
         const std::size_t before = heapBytes();
@@ -187,7 +191,7 @@
     PlannerSide planner_;
     nlohmann::ordered_json figures_;
     std::uint64_t change_ = 0;
-    bool isComplete_ = true;
+    bool isComplete_ = true; // false: a wait for the clients timed out
 };
 
 void raiseDescriptorLimit() {
--- a/bench/pubsub_clients.cpp
+++ b/bench/pubsub_clients.cpp
@@ -20,7 +20,8 @@
 using asio::ip::tcp;
 using namespace std::chrono_literals;
 
-/// The value of a field of the platform's protocol; `field` with a space before and "=" behind. Empty: no such field.
+/// Returns the value of a field in a line of the platform's protocol, or an empty string if the field is
+/// missing. `field` is the name with a leading space and a trailing "=".
 std::string_view fieldOf(std::string_view line, std::string_view field) {
     const auto found = line.find(field);
     if (found == std::string_view::npos) return {};
@@ -28,7 +29,8 @@
     return line.substr(begin, line.find(' ', begin) - begin);
 }
 
-/// A client of the platform's protocol: says hello, acknowledges barriers, and notes when a change arrives.
+/// A client of the platform's protocol: sends the hello line, acknowledges barriers, and records when a
+/// change arrives.
 class PlatformClient : public std::enable_shared_from_this<PlatformClient> {
 public:
     PlatformClient(asio::io_context& io, std::size_t number, SharedState& shared)
@@ -57,7 +59,7 @@
     }
     void handleLine(std::string_view line) {
         const bool isChange = !fieldOf(line, " drop=").empty() || !fieldOf(line, " rows=").empty();
-        if (isChange) shared_.noteReceived(number_);
+        if (isChange) shared_.recordReceipt(number_);
         const auto barrier = fieldOf(line, " stamp=");
         if (barrier.empty()) return;
         send("ack proxy=" + std::to_string(number_) + " mark=" + std::string(barrier) + " took_ms=0.1\r\n");
@@ -77,13 +79,13 @@
     const client::Identity identity{ProxyId{static_cast<std::uint16_t>(number)}, "a", 1};
     const client::ReconnectConfig reconnect{.initialDelay = 2ms, .maxDelay = 20ms};
     const auto onChange = [&shared, number](std::optional<pubsub::TopicId> topic) {
-        if (topic) shared.noteReceived(number);
+        if (topic) shared.recordReceipt(number);
     };
     return std::make_shared<client::SubscriptionClient>(io, std::vector{planner}, identity, reconnect, number,
                                                         10s, onChange);
 }
 
-void perform(ClientCommand command, int percent, const ChannelClients& clients) {
+void executeCommand(ClientCommand command, int percent, const ChannelClients& clients) {
     for (std::size_t k = 0; k < clients.size(); ++k) {
         if (k * 100 >= static_cast<std::size_t>(percent) * clients.size()) break;
         switch (command) {
@@ -99,7 +101,7 @@
 
 std::int64_t steadyMicros() { return client::SubscriptionClient::now().count(); }
 
-void SharedState::noteReceived(std::size_t client) {
+void SharedState::recordReceipt(std::size_t client) {
     const std::uint64_t change = currentChange;
     if (change == 0 || receivedAtMicros[change][client] != 0) return;
     receivedAtMicros[change][client] = steadyMicros();
@@ -120,11 +122,11 @@
             channelClients.back()->start();
         }
     }
-    for (int performed = 0;;) {
+    for (int lastCommand = 0;;) {
         io.run_one_for(1ms);
-        if (shared.commandNumber == performed) continue;
-        performed = shared.commandNumber;
-        perform(shared.command, shared.percentOfClients, channelClients);
+        if (shared.commandNumber == lastCommand) continue;
+        lastCommand = shared.commandNumber;
+        executeCommand(shared.command, shared.percentOfClients, channelClients);
         ++shared.commandsDone;
     }
 }
--- a/bench/pubsub_clients.h
+++ b/bench/pubsub_clients.h
@@ -1,4 +1,4 @@
-// The client process of the pub-sub benchmark: all clients in one process, steered through shared memory.
+// The client process of the pub-sub benchmark. It runs all clients and is controlled through shared memory.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,29 +12,30 @@
 inline constexpr std::size_t kMaxChanges = 256;
 inline constexpr std::size_t kMaxSubscribers = 2000;
 
-/// How tables reach the clients.
+/// Transport by which tables reach the clients.
 enum class Transport { PubsubChannel, WholeTables, Platform };
 
+/// What the planner's process can ask of the clients.
 enum class ClientCommand : int { None, DropConnections, PauseReading, ResumeReading };
 
 /// Memory that the planner's process and the client process share.
 struct SharedState {
-    std::atomic<int> commandNumber{0}; ///< raised by the planner's process for each command
-    std::atomic<int> commandsDone{0};  ///< by the client process
+    std::atomic<int> commandNumber{0}; ///< incremented by the planner's process for each command
+    std::atomic<int> commandsDone{0};  ///< incremented by the client process
     ClientCommand command = ClientCommand::None;
-    int percentOfClients = 0;                    ///< that the command is for
-    std::atomic<std::uint64_t> currentChange{0}; ///< the change that is measured; 0: none
-    std::atomic<std::uint32_t> receivedBy[kMaxChanges];
-    std::int64_t receivedAtMicros[kMaxChanges][kMaxSubscribers]; ///< by the steady clock; 0: not yet
+    int percentOfClients = 0;                           ///< clients that the command applies to
+    std::atomic<std::uint64_t> currentChange{0};        ///< number of the change that is measured; 0: none
+    std::atomic<std::uint32_t> receivedBy[kMaxChanges]; ///< by change: number of clients that received it
+    std::int64_t receivedAtMicros[kMaxChanges][kMaxSubscribers]; ///< steady clock; 0: not received
 
-    /// A client has received something: its first receipt of the current change counts.
-    void noteReceived(std::size_t client);
+    /// Called when a client has received data. Only the first call for each client and change is recorded.
+    void recordReceipt(std::size_t client);
 };
 
-/// The steady clock, which both processes read.
+/// Time of the steady clock, which is the same in both processes.
 std::int64_t steadyMicros();
 
-/// Connects so many clients, and carries out commands until the process is killed.
+/// Connects `subscribers` clients, then executes commands until the process is killed.
 [[noreturn]] void runClients(SharedState& shared, Transport transport, std::size_t subscribers,
                              const boost::asio::ip::tcp::endpoint& planner);
 
--- a/bench/pubsub_planner_side.cpp
+++ b/bench/pubsub_planner_side.cpp
@@ -10,8 +10,8 @@
 using asio::ip::tcp;
 using namespace std::chrono_literals;
 
-constexpr double kMaxQueuedLines = 1e6;        // the queue's limit is not what is measured here
-constexpr std::size_t kSpareSubscribers = 100; // connections beside the clients' own, while they reconnect
+constexpr double kMaxQueuedLines = 1e6;        // high: the limit itself is not measured
+constexpr std::size_t kSpareConnections = 100; // old connections may remain open while clients reconnect
 constexpr Micros kMaxWait = 60s;
 
 } // namespace
@@ -19,7 +19,7 @@
 void ScriptedPlanner::decide() {
     constexpr std::uint16_t kMaxBarrier = 65535;
     for (const ProxyId proxy : std::exchange(unassigned, {})) routingState.assignTable(proxy, 0, {0});
-    if (orders) std::exchange(orders, {})();
+    if (applyChange) std::exchange(applyChange, {})();
     lastBarrier = static_cast<std::uint16_t>(lastBarrier % kMaxBarrier + 1);
     routingState.requestBarrier({lastBarrier}, false);
 }
@@ -52,13 +52,13 @@
             [this] { return batchRunner.now(); });
     };
     channel_.emplace(io, counters, bufferPool, makeServer, 1s);
-    channel_->configure(pubsub::PubsubService::Endpoint{"127.0.0.1:0", proxies + kSpareSubscribers});
+    channel_->configure(pubsub::PubsubService::Endpoint{"127.0.0.1:0", proxies + kSpareConnections});
     return *channel_->address();
 }
 
 tcp::endpoint PlannerSide::startListener(net::Listener::MakePeer makePeer) {
     const tcp::endpoint loopback(asio::ip::address_v4::loopback(), 0);
-    listener_ = std::make_shared<net::Listener>(io, loopback, proxies + kSpareSubscribers,
+    listener_ = std::make_shared<net::Listener>(io, loopback, proxies + kSpareConnections,
                                                 net::SessionAcceptor::kQueueBytesMost, counters, bufferPool,
                                                 bufferPool, std::move(makePeer));
     listener_->start();
@@ -87,8 +87,8 @@
     runUntil([&] { return shared.commandsDone > before; });
 }
 
-void PlannerSide::runBatch(std::function<void()> orders) {
-    planner.orders = std::move(orders);
+void PlannerSide::runBatch(std::function<void()> applyChange) {
+    planner.applyChange = std::move(applyChange);
     batchRunner.openBatch();
 }
 
--- a/bench/pubsub_planner_side.h
+++ b/bench/pubsub_planner_side.h
@@ -1,4 +1,5 @@
-// The planner's side of the pub-sub benchmark: a planner that carries out scripted orders, and one of the transports.
+// The planner's side of the pub-sub benchmark: a planner that makes scripted changes, and one of the
+// transports.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,7 +19,8 @@
 
 namespace zincstack::bench {
 
-/// Takes no decisions: assigns the one table to every proxy that joins, and carries out the orders it is given.
+/// A planner without decisions: assigns table 0 to every proxy that joins, and makes the change that it is
+/// given.
 struct ScriptedPlanner final : Planner {
     explicit ScriptedPlanner(routing::RoutingState& state) : routingState(state) {}
     void beginBatch(Micros) override {}
@@ -34,23 +36,24 @@
 
     routing::RoutingState& routingState;
     std::vector<ProxyId> unassigned;
-    std::function<void()> orders; ///< for the next batch
+    std::function<void()> applyChange; ///< called in the next batch, then reset
     std::uint64_t acknowledgments = 0;
     std::uint16_t lastBarrier = 0;
 };
 
+/// Event loop, planner and transport of the benchmark.
 struct PlannerSide {
     explicit PlannerSide(std::size_t subscribers) : proxies(static_cast<std::uint32_t>(subscribers)) {}
 
-    /// Starts the transport; returns where it listens.
+    /// Starts the transport and returns the address on which it listens.
     boost::asio::ip::tcp::endpoint listen(Transport transport);
-    /// Runs the event loop until the condition holds, for a minute at most; returns whether it held.
+    /// Runs the event loop until the condition holds, for 60 s at most. Returns false on time-out.
     bool runUntil(const std::function<bool()>& condition);
     void runFor(Micros duration);
-    /// Has the client process carry out a command, and waits for it.
+    /// Sends a command to the client process and waits until it is done, for 60 s at most.
     void command(SharedState& shared, ClientCommand command, int percentOfClients);
-    /// Carries out orders in a batch of their own.
-    void runBatch(std::function<void()> orders);
+    /// Makes a change in a separate batch.
+    void runBatch(std::function<void()> applyChange);
     void stop();
 
     const std::uint32_t proxies;
--- a/bench/whole_table_transport.h
+++ b/bench/whole_table_transport.h
@@ -1,5 +1,5 @@
-// The baseline of the pub-sub benchmark: the simplest transport that could be, which sends the whole table to every
-// subscriber at each change, encoded once.
+// Baseline of the pub-sub benchmark: a minimal transport, which encodes the whole table once per change and
+// sends it to every subscriber.
 #pragma once
 
 #include <algorithm>
@@ -21,11 +21,13 @@
 
 namespace zincstack::bench {
 
+/// Sends the whole table to all subscribers at the end of each batch with a change.
 class WholeTableTransport final : public routing::UpdateTransport {
 public:
     using OpenBatch = std::function<Planner&()>;
 
-    /// `onAcknowledged` is called when a client has applied a table.
+    /// `openBatch` opens a batch and returns the planner. `onAcknowledged` is called when a client has
+    /// applied a table.
     WholeTableTransport(routing::RoutingState& routingState, const net::NameRegistry& names,
                         OpenBatch openBatch, std::function<void()> onAcknowledged)
         : routingState_(routingState), names_(names), openBatch_(std::move(openBatch)),
@@ -53,8 +55,8 @@
 
 private:
     struct Session final : net::PeerProtocol {
-        Session(WholeTableTransport& owner, net::Connection& itsConnection)
-            : transport(owner), connection(itsConnection) {}
+        Session(WholeTableTransport& owner, net::Connection& peerConnection)
+            : transport(owner), connection(peerConnection) {}
         bool feed(std::string_view bytes) override {
             reader.feed(bytes, [&](pubsub::Frame& frame) {
                 if (frame.type == pubsub::FrameType::Hello) join(frame);
@@ -88,7 +90,8 @@
     };
 
     std::vector<pubsub::Entry> tableEntries() const {
-        constexpr double kExcludedWeight = 0.001; // excluded endpoints have no topic of their own here
+        // This transport has no topic for exclusions, so it sends excluded endpoints with a low weight.
+        constexpr double kExcludedWeight = 0.001;
         std::vector<pubsub::Entry> entries;
         for (const auto& [endpoint, weight] : routingState_.table({0}).weights) {
             const bool isExcluded = routingState_.excludedEndpoints().contains(endpoint);
