--- a/tests/simwire_test.cpp
+++ b/tests/simwire_test.cpp
@@ -113,6 +113,8 @@
     EXPECT_EQ(std::ranges::count(codes(play(5, openWithProxy(second.record(9, {1U}), 1, 1))), 8), 1);
 }
 
+// Truncated records, wrong lengths and counts, and values out of range must be rejected before a planner sees
+// them, with an error that locates the fault in the batch.
 TEST_F(SimwireHost, ErrorsNameRecordFieldAndOffset) {
     play(1, Bytes().record(7, opening(3)));
     EXPECT_EQ(errorAfter(1, Bytes().record(4, {3U})), "LEFT.Proxy at offset 25: needs 2 bytes, 0 left");
