--- a/tests/digest_days.cpp
+++ b/tests/digest_days.cpp
@@ -1,3 +1,4 @@
+// Implements the list of kinds of recorded days and the texts of events.
 #include "digest_days.h"
 
 #include <algorithm>
--- a/tests/digest_days.h
+++ b/tests/digest_days.h
@@ -1,8 +1,9 @@
-// Recorded days: seeded runs of one part of the program, the same on every machine and in every build. A day's
-// events are the updates that were ordered or the bytes that were written, as short texts with exact numbers.
+// Recorded days: seeded simulation runs of one part of the program, which are identical on every machine and
+// in every build. The events of a day are the planner's routing updates or the bytes that were written, as
+// short texts with exact numbers.
 //
-// The checksums of all days are stored in tests/digests (digest_reference.h). A change of the code that must not
-// change what the program does leaves every checksum as it is.
+// The checksums of all days are stored in tests/digests (digest_reference.h). A code change that is not meant
+// to change the program's behaviour must leave every checksum unchanged.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +21,8 @@
 
 namespace zincstack::tests {
 
-/// Random numbers from a seed. The distributions of std:: differ between libraries, so they are not used.
+/// A seeded pseudo-random number generator. It does not use the distributions of the standard library,
+/// because they differ between implementations.
 class SeededNumbers {
 public:
     explicit SeededNumbers(std::uint64_t seed) : engine_(seed) {}
@@ -40,13 +42,14 @@
     std::mt19937_64 engine_;
 };
 
-/// What one seeded run did.
+/// The record of one seeded run.
 struct RecordedDay {
     std::vector<std::string> events;
-    std::map<std::string, std::size_t> coverage; ///< how often the day reached something; not compared
+    std::map<std::string, std::size_t> coverage; ///< how often each case occurred in the day; not compared
 };
 
-/// A kind of day, with the seeds 1 to `seeds`. Continuous integration plays the first `seedsOfTests`.
+/// A kind of recorded day: the part of the program that it runs, and its seeds, which are 1 to `seeds`. The
+/// tests play only the first `seedsOfTests`.
 struct DayKind {
     std::string_view name;
     std::uint64_t seeds;
@@ -54,7 +57,7 @@
     RecordedDay (*play)(std::uint64_t seed);
 };
 std::span<const DayKind> dayKinds();
-/// Null: there is no such kind.
+/// Null if no kind has this name.
 const DayKind* findDayKind(std::string_view name);
 
 RecordedDay playDecisionsDay(std::uint64_t seed);
@@ -62,10 +65,10 @@
 RecordedDay playPubsubDay(std::uint64_t seed);
 RecordedDay playSimwireDay(std::uint64_t seed);
 
-/// The exact value, as a hexadecimal floating-point number.
+/// The exact value as a hexadecimal floating-point number.
 std::string exactText(double value);
 std::string hexText(std::string_view bytes);
-/// Printable bytes as they are, all others as \xNN.
+/// Printable bytes other than the backslash unchanged, and all other bytes as \xNN.
 std::string escapedText(std::string_view bytes);
 /// One event: the time in microseconds, a name and named values.
 std::string eventText(Micros now, std::string_view name,
--- a/tests/digest_decisions.cpp
+++ b/tests/digest_decisions.cpp
@@ -1,4 +1,4 @@
-// Recorded days of the decisions: every routing update with its arguments, in the order in which it was given.
+// Recorded days of the planner's decisions: every routing update with its arguments, in order.
 #include <algorithm>
 
 #include "digest_days.h"
@@ -9,20 +9,20 @@
 namespace {
 
 constexpr int kSeconds = 40;
-constexpr int kSecondsOfLongDay = 100; // a reduced weight is kept for a minute
+constexpr int kSecondsOfLongDay = 100; // longer than the minute for which a reduced weight is kept
 constexpr std::uint64_t kLongDayEvery = 10;
-constexpr std::uint64_t kListedLater = 100; // ids of endpoints that start during the day begin here
+constexpr std::uint64_t kListedLater = 100; // first id of endpoints that start during the day
 
-/// What the load reports of a while look like.
+/// The state of the fleet that load reports and probe results show for a few seconds.
 enum class Condition { Healthy, FewFail, FewAreSlow, FewAreSilent, AllAreSlow, MostFail };
 
-/// A model of proxies and their channel that records each routing update that it is given. The recorded texts are part of
-/// the digests, so they keep the words with which the digests were made.
+/// A model of proxies and their channel that records each routing update that it receives. The names in
+/// recorded events are part of the stored checksums, so they do not follow renames in the code.
 class RecordingModel : public ProxyModel {
 public:
     RecordedDay day;
-    bool channelIsCounted = false; ///< the caller counts the lines that wait, so that subset tables are used
-    std::size_t fullTables = 0;    ///< tables with higher ids are subset tables
+    bool channelIsCounted = false; ///< pendingLines() reports the queue, so the planner uses subset tables
+    std::size_t fullTables = 0;    ///< number of full tables; those with ids from this on are subset tables
 
     void setWeight(TableId table, EndpointId endpoint, double weight) override {
         countLine(table, endpoint, weight);
@@ -76,7 +76,7 @@
                {{"proxy", number(proxy)}, {"most", std::to_string(most)}, {"done", std::to_string(done)}});
         return done;
     }
-    /// Only counted: an event for the log is no routing update. Its name tells what has been reached.
+    /// Counts the event by name as coverage. It is not recorded, because a log event is not a routing update.
     void report(const PlannerEvent& event) override {
         ++day.coverage["event: " + std::string(eventName(event))];
     }
@@ -109,7 +109,7 @@
     }
 };
 
-/// Plays one day on a recording model.
+/// Plays one day: random changes of endpoints, proxies, load and channel on a RecordingModel.
 class DecisionsDay {
 public:
     explicit DecisionsDay(std::uint64_t seed)
@@ -154,7 +154,8 @@
         model_.fullTables = countFullTables();
         busyZone_ = numbers_.chance(0.4);
     }
-    /// The planner has a table of each zone for all zone-local request classes, and one for all others.
+    /// The number of the planner's full tables. For each zone it has one table for all zone-local request
+    /// classes and one for all others, if there are such classes.
     std::size_t countFullTables() const {
         std::size_t groups = 0;
         for (const bool isZoneLocal : {false, true})
@@ -176,7 +177,8 @@
         return Micros(static_cast<std::int64_t>(numbers_.below(static_cast<std::uint64_t>(end.count()))));
     }
     double rateOf(std::uint16_t proxy) const { return busyZone_ && zoneOf(proxy) == 0 ? 90 : 8 + proxy; }
-    /// The proxy holds a few endpoints, or a full table of an earlier planner.
+    /// Joins a proxy that holds a few endpoints or almost all of them, as from the full table of an earlier
+    /// planner.
     void join(std::uint16_t proxy) {
         const bool hasFullTable = numbers_.chance(0.3);
         std::set<EndpointId> holds;
@@ -222,7 +224,7 @@
                                   numbers_.chance(0.5) ? 0us : model_.now - anyMicros(2s));
         }
     }
-    /// Some endpoints drain while others take their place.
+    /// A release: some endpoints drain while others start.
     void release() {
         for (auto count = numbers_.between(1, 5); count > 0; --count)
             model_.updateEndpoint(anyEndpoint().value, EndpointState::Draining);
@@ -270,7 +272,8 @@
         const bool isSlow = isAffected(endpoint) && condition_ != Condition::FewFail;
         return isSlow ? 900ms + anyMicros(2s) : 50ms + anyMicros(200ms);
     }
-    /// The reports of a second: each zone's proxies on each endpoint, and each proxy on each request class.
+    /// Sends the reports of one second: load reports by zone and endpoint, and demand reports by proxy and
+    /// request class.
     void report() {
         double rate = 0;
         for (const auto& [id, proxy] : model_.proxies) rate += rateOf(id.value);
@@ -328,7 +331,7 @@
     Condition condition_ = Condition::Healthy;
     std::set<EndpointId> affected_;
     int changesAt_ = 3;
-    bool busyZone_ = false; // one zone has most of the traffic, more than its own endpoints can take
+    bool busyZone_ = false; // proxies of zone 0 have most of the traffic, more than its endpoints can serve
     std::uint64_t nextEndpoint_ = kListedLater;
 };
 
--- a/tests/digest_pubsub.cpp
+++ b/tests/digest_pubsub.cpp
@@ -1,4 +1,4 @@
-// Recorded days of the pub-sub channel: the bytes to each subscriber and from it.
+// Recorded days of the pub-sub channel: the bytes sent to and received from each subscriber.
 #include <zstd.h>
 
 #include <stdexcept>
@@ -30,8 +30,8 @@
     return out;
 }
 
-/// The frame without its length. Releases of the zstd library pack the same body into different bytes, so a
-/// compressed body is unpacked; the flag that tells of it stays.
+/// The text of a frame without its length. A compressed body is decompressed, because releases of the zstd
+/// library compress the same body to different bytes. The header's compression flag is kept.
 std::string comparableFrame(std::string_view frame) {
     const std::string_view header = frame.substr(kLengthBytes, pubsub::kHeaderBytes - kLengthBytes);
     const std::string_view body = frame.substr(pubsub::kHeaderBytes);
@@ -39,6 +39,7 @@
     return hexText(header) + ":" + hexText(isCompressed ? unpacked(body) : std::string(body));
 }
 
+/// Plays one day: random changes of tables, sessions and reading speed on a PubsubHarness.
 class PubsubDay {
 public:
     explicit PubsubDay(std::uint64_t seed) : numbers_(seed) {
@@ -71,21 +72,21 @@
             recordFrame(connection, isTo, comparableFrame(bytes.substr(0, size)));
             bytes.remove_prefix(size);
         }
-        if (!bytes.empty()) recordFrame(connection, isTo, hexText(bytes)); // no whole frame
+        if (!bytes.empty()) recordFrame(connection, isTo, hexText(bytes)); // an incomplete frame
     }
     void recordFrame(std::size_t connection, bool isTo, const std::string& text) {
         ++day_.coverage[isTo ? "frames to subscribers" : "frames from subscribers"];
         day_.events.push_back(eventText(harness_.now, isTo ? "to" : "from",
                                         {{"stream", std::to_string(connection)}, {"bytes", text}}));
     }
-    /// Every fourth is an observer.
+    /// Adds a client, which is an observer with a probability of 1 in 4.
     void addClient() {
         const auto proxy = nextProxy_++;
         const bool isObserver = numbers_.chance(0.25);
         harness_.addClient(isObserver ? std::nullopt : std::optional(proxy),
                            numbers_.chance(0.6) ? "a" : "b");
     }
-    /// A second session of the newest proxy starts while the first is still open, and replaces it.
+    /// Opens two sessions of a new proxy. The second starts while the first is still open, and replaces it.
     void replaceSession() {
         ++day_.coverage["streams replaced"];
         const auto proxy = nextProxy_++;
--- a/tests/digest_push.cpp
+++ b/tests/digest_push.cpp
@@ -1,4 +1,5 @@
-// Recorded days of a small fleet: the bytes that the platform's front writes to each proxy's stream.
+// Recorded days of a small fleet: the bytes that the update queue (platform/update_queue.h) writes to each
+// proxy's stream.
 #include "digest_days.h"
 #include "simulated_fleet.h"
 
@@ -23,7 +24,7 @@
     return figures;
 }
 
-/// The life of one planner, from its start until it is killed.
+/// Plays one planner with its fleet, from its start until it is killed.
 class PlannerLife {
 public:
     PlannerLife(SeededNumbers& numbers, RecordedDay& day, const SimulatedFleetConfig& figures,
@@ -124,7 +125,8 @@
     RecordedDay day;
     const SimulatedFleetConfig figures = figuresOf(numbers);
     for (const bool comeWithOldTables : {false, true}) {
-        if (seed % 4 == 0 && !comeWithOldTables) continue; // the first that is back after all were killed
+        // Every fourth seed plays only the planner that restarts first after all planners were killed.
+        if (seed % 4 == 0 && !comeWithOldTables) continue;
         ++day.coverage["planner lives"];
         PlannerLife(numbers, day, figures, comeWithOldTables).play();
     }
--- a/tests/digest_reference.cpp
+++ b/tests/digest_reference.cpp
@@ -1,3 +1,4 @@
+// Implements the storage of the checksums of recorded days and the comparison with them.
 #include "digest_reference.h"
 
 #include <boost/crc.hpp>
@@ -31,7 +32,8 @@
     return checksumText(checksum).substr(8 - kCheckpointDigits);
 }
 
-/// The place of the first event whose checkpoint differs. Where one list is the start of the other, its end.
+/// The index of the first event whose checkpoint differs. If one list is a prefix of the other, the length of
+/// the shorter list.
 std::size_t firstDifference(const std::string& stored, const std::string& now) {
     const auto unequal = std::ranges::mismatch(stored, now).in1;
     return static_cast<std::size_t>(unequal - stored.begin()) / kCheckpointDigits;
--- a/tests/digest_reference.h
+++ b/tests/digest_reference.h
@@ -1,9 +1,10 @@
-// The stored checksums of recorded days, and the comparison with them.
+// The stored checksums of recorded days, and the comparison of days with them.
 //
-// tests/digests/KIND.txt has a line for each seed: the seed, the number of events and the CRC-32 of their texts.
-// tests/digests/KIND_checkpoints.txt has a line for each seed that the tests play: the seed, and for each event the
-// lowest byte of the CRC up to and including that event, as two hexadecimal digits. They tell which event differs
-// first; about one difference in 256 is seen an event late.
+// tests/digests/KIND.txt has a line for each seed: the seed, the number of events and the CRC-32 of their
+// texts. tests/digests/KIND_checkpoints.txt has a line for each seed that the tests play: the seed, and for
+// each event the lowest byte of the CRC up to and including that event, as two hexadecimal digits. They show
+// which event differs first. One difference in 256 or so is detected an event late, because the bytes are
+// equal by chance.
 #pragma once
 
 #include <cstdint>
@@ -19,15 +20,16 @@
 struct DayDigest {
     std::size_t events = 0;
     std::uint32_t checksum = 0;
-    std::string checkpoints; ///< two digits an event; empty where none are stored
+    std::string checkpoints; ///< two digits per event; empty if none are stored
 };
 
-/// Owns what tests/digests has on one kind of day; `kind` must outlive it.
+/// The stored digests of one kind of day. `kind` must outlive it.
 class DigestReference {
 public:
-    /// Reads what is stored of a kind of day; nothing where its files are missing.
+    /// Reads the files of a kind of day. If they are missing, no digest is stored.
     explicit DigestReference(const DayKind& kind);
-    /// What differs between the day as played now and as stored; nothing where they are the same.
+    /// A description of the difference between the day as played and as stored; std::nullopt if they are
+    /// equal.
     std::optional<std::string> difference(std::uint64_t seed, const RecordedDay& played) const;
 
 private:
@@ -37,7 +39,7 @@
     std::map<std::uint64_t, DayDigest> stored_; // by seed
 };
 
-/// Replaces the stored checksums by these, by seed.
+/// Replaces the stored digests of a kind of day. `digests` is keyed by seed.
 void writeDigestReference(const DayKind& kind, const std::map<std::uint64_t, DayDigest>& digests);
 
 DayDigest digestOf(const RecordedDay& day);
--- a/tests/digest_simwire.cpp
+++ b/tests/digest_simwire.cpp
@@ -1,4 +1,4 @@
-// Recorded days on the simulator's wire: the records of each reply, except the lines for the log.
+// Recorded days of the simulator's protocol: the records of each reply, except log lines.
 #include <cstring>
 #include <set>
 
@@ -16,7 +16,7 @@
 constexpr std::size_t kReplyLengthBytes = 4;
 constexpr std::uint8_t kUnknownEvents[] = {0, 16, 77, 255};
 
-/// Codes of events, as the simulator sends them.
+/// Event codes of the simulator's protocol.
 enum class Event : std::uint8_t {
     DemandReport = 1,
     RangeHeld = 2,
@@ -35,10 +35,10 @@
     PeerMessage = 15,
 };
 
-/// Codes of actions that the day answers or leaves out.
+/// Codes of the actions that the day answers, and of the one that it does not record (Log).
 enum class Action : std::uint8_t { ScheduleWakeUp = 3, Log = 5, Probe = 11, RequestBarrier = 12 };
 
-/// An endpoint as the wire writes it: an address and a port.
+/// An endpoint as encoded on the wire.
 struct WireEndpoint {
     std::uint32_t address;
     std::uint16_t port;
@@ -74,6 +74,7 @@
     return text;
 }
 
+/// Plays one day: batches of random events, some of them unknown, to one to three planner instances.
 class SimwireDay {
 public:
     explicit SimwireDay(std::uint64_t seed) : numbers_(seed), endpoints_(numbers_.between(4, 16)) {
@@ -123,7 +124,8 @@
             eventText(now_, "action", {{"code", std::to_string(code)}, {"bytes", hexText(bytes)}}));
         actions_.emplace_back(static_cast<Action>(code), std::vector(fields.begin(), fields.end()));
     }
-    /// Timers fire, barriers are acknowledged and probes are answered, in the next batch.
+    /// Answers the actions of the last reply in the next batch: timers expire, most barriers are acknowledged
+    /// and most probes complete.
     void answerActions() {
         for (const auto& [action, fields] : std::exchange(actions_, {})) {
             const auto instance = valueAt<std::uint32_t>(fields, 0);
@@ -147,7 +149,7 @@
         put(Event::ProbeCompleted, fields);
     }
     void putReportColumns(Bytes& fields) {
-        const auto columns = static_cast<std::uint8_t>(numbers_.below(5)); // one more than there are names
+        const auto columns = static_cast<std::uint8_t>(numbers_.below(5)); // at most one too many
         fields.put(columns);
         for (std::uint8_t column = 0; column < columns; ++column)
             fields.put(static_cast<float>(10 * numbers_.fraction()));
@@ -173,7 +175,8 @@
     static WireEndpoint endpoint(std::size_t number) {
         return {0x0a000001U + static_cast<std::uint32_t>(number), std::uint16_t{80}};
     }
-    /// Sends the list as it is, and tells the instance that it holds what the form says (0: as cached, 3: whole).
+    /// Sends the current endpoint list, and then an update to the instance that refers to it. The form says
+    /// what the list is (0: cached, 2: changes, 3: complete).
     void tellEndpointList(std::uint32_t instance, std::uint8_t form) {
         const auto table = static_cast<std::uint16_t>(numbers_.below(16));
         Bytes fields(table, static_cast<std::uint32_t>(endpoints_));
@@ -205,7 +208,7 @@
         case 5: putUnknownEvent(); break;
         case 6:
             put(Event::EndpointUpdate, {instance, std::uint8_t{1}, std::uint64_t{1}, std::uint16_t{0}});
-            break; // failed
+            break; // the poll has failed
         default:
             if (numbers_.chance(0.4)) haltAndOpen(instance);
         }
@@ -226,7 +229,7 @@
         put(Event::CloseInstance, {instance});
         openInstance(instance);
     }
-    /// Events that are read for their form and used by no decision.
+    /// Sends events that the planner parses but does not use.
     void putUnusedEvents(std::uint32_t instance) {
         const std::uint16_t sheet = 3;
         const auto [address, port] = endpoint(0);
@@ -262,7 +265,7 @@
     }
     void putDemandReport(std::uint32_t instance, std::uint16_t proxy) {
         const auto requests = static_cast<std::uint32_t>(numbers_.below(20));
-        const auto requestClass = static_cast<std::uint16_t>(numbers_.below(4)); // one more than there are
+        const auto requestClass = static_cast<std::uint16_t>(numbers_.below(4)); // the last is unknown
         put(Event::DemandReport, {instance, requests, proxy, requestClass, 1.0, 1U});
     }
 
@@ -273,7 +276,7 @@
     Bytes body_;
     std::uint32_t records_ = 0;
     std::vector<std::pair<Action, std::vector<std::byte>>> actions_;
-    std::map<std::uint32_t, std::set<std::uint16_t>> joined_; // by instance: its proxies
+    std::map<std::uint32_t, std::set<std::uint16_t>> joined_; // the joined proxies by instance
     std::size_t endpoints_;
     std::vector<std::uint8_t> endpointStates_;
     std::map<std::size_t, double> readyAt_;
--- a/tests/digest_test.cpp
+++ b/tests/digest_test.cpp
@@ -1,6 +1,6 @@
-// The first recorded days of each kind give the updates and bytes that they gave when their checksums were stored
-// (digest_days.h). The program zincstack_digests checks all days, and writes the checksums anew after a change that
-// is meant to change what the program does.
+// Regression tests of the program's behaviour: the first recorded days of each kind (digest_days.h) must
+// still produce the updates and bytes whose checksums are stored. The program zincstack_digests checks all
+// days, and rewrites the checksums after an intended change of behaviour.
 #include <gtest/gtest.h>
 
 #include "digest_reference.h"
--- a/tests/digest_tool.cpp
+++ b/tests/digest_tool.cpp
@@ -1,4 +1,5 @@
-// Plays recorded days (digest_days.h) and compares, writes or prints them.
+// The program zincstack_digests: plays recorded days (digest_days.h), and compares them with the stored
+// checksums, rewrites the checksums or prints a day's events.
 #include <charconv>
 #include <chrono>
 #include <exception>
@@ -23,7 +24,8 @@
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
-/// Plays all days of a kind, hands each to `take`, and prints how many there were and what they reached.
+/// Plays all days of a kind and calls `take` with each. Prints the numbers of days and events, the time
+/// taken, and the coverage.
 void playAll(const DayKind& kind, const auto& take) {
     const auto start = std::chrono::steady_clock::now();
     std::size_t events = 0;
--- a/tests/fleet_rules.cpp
+++ b/tests/fleet_rules.cpp
@@ -1,3 +1,4 @@
+// Implements the checks of the safety rules of a simulated fleet.
 #include "fleet_rules.h"
 
 #include <algorithm>
@@ -7,14 +8,14 @@
 
 namespace {
 
-constexpr Micros kStartUpTime = 1s;       // no deadline is checked before
-constexpr Micros kDeadlineMargin = 300ms; // deadlines are checked later than the settings say by this
+constexpr Micros kStartUpTime = 1s;       // deadlines start no earlier than this after the start of the run
+constexpr Micros kDeadlineMargin = 300ms; // added to the configured deadlines
 
 std::string millisText(Micros duration) { return std::to_string(duration.count() / 1000) + " ms"; }
 
 std::string proxyText(std::uint16_t id) { return "proxy " + std::to_string(id); }
 
-/// On a slow channel everything takes longer.
+/// The deadline to check: messages take longer on a slow channel, so it grows with the slowdown.
 Micros deadlineOf(Micros configured, double slowdown) {
     return std::chrono::duration_cast<Micros>(slowdown * configured) + kDeadlineMargin;
 }
@@ -50,7 +51,7 @@
     const bool hasWarmEndpoint = std::ranges::any_of(
         endpoints, [&](const SimulatedEndpoint& endpoint) { return isWarm(endpoint, now); });
     for (auto& [id, proxy] : proxies) {
-        if (proxy.isStalled) continue; // sends no requests either
+        if (proxy.isStalled) continue; // a stalled proxy sends no requests
         checkDrains(now, id, proxy, ends);
         checkAvailability(now, id, proxy, hasWarmEndpoint);
     }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,6 +1,7 @@
-// Whole fleets on one planner while endpoints are replaced and planners restart: the days of the incident of
-// docs/incidents/2026-12-backlog-drain.md on the planner's own streams (simulated_fleet.h). Deployments are as large as
-// the one where it was seen; 60 proxies never showed it.
+// Tests whole fleets on one planner while endpoints are replaced and planners restart. The scenarios are
+// those of the incident docs/incidents/2026-12-backlog-drain.md, run on the planner's own streams
+// (simulated_fleet.h). Deployments are as large as the one where the incident occurred, because it never
+// occurred with 60 proxies.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -24,7 +25,7 @@
     return text;
 }
 
-/// Replaces endpoints, the oldest first, a batch every two seconds.
+/// A rolling release: replaces endpoints in batches, the oldest first, one batch every two seconds.
 class RollingRelease {
 public:
     RollingRelease(SimulatedFleet& fleet, std::size_t batchSize) : fleet_(fleet), batchSize_(batchSize) {}
@@ -44,12 +45,14 @@
     std::size_t oldest_ = 0;
 };
 
+/// Proxy ids from `first` up to, and not including, `end`.
 struct ProxyRange {
     std::uint16_t first;
     std::uint16_t end;
 };
 
-/// Proxies with an inherited table join one after the other, evenly over a period that begins now.
+/// Lets proxies with an inherited table join one after the other, evenly spread over a period that begins at
+/// construction.
 class Arrivals {
 public:
     Arrivals(SimulatedFleet& fleet, ProxyRange proxies, Micros period, const EndpointSet& inheritedTable)
@@ -74,7 +77,8 @@
 constexpr auto kNothing = [] {};
 constexpr auto kNothingThatSecond = [](int) {};
 
-/// Calls `playSecond` once in each second, `playStep` ten times. All requests succeed.
+/// Runs the fleet. Calls `playSecond` once and `playStep` ten times per second, and reports all requests as
+/// successful.
 void play(SimulatedFleet& fleet, int seconds, const auto& playSecond, const auto& playStep) {
     constexpr int kStepsPerSecond = 10;
     for (int second = 0; second < seconds; ++second) {
@@ -92,7 +96,8 @@
     fleet.announceAllEndpoints(EndpointListUpdate::Cached);
 }
 
-/// All planners are killed during a release, and this one is the first to return.
+/// Simulates the crash of all planners during a release. This planner is the first to restart, so all proxies
+/// join it.
 void joinAllProxiesToANewPlanner(SimulatedFleet& fleet) {
     constexpr int kReleaseEnd = 9;
     addEndpoints(fleet);
@@ -118,7 +123,8 @@
     EXPECT_TRUE(fleet.violations().empty()) << violationsText(fleet);
 }
 
-/// Planners restart one after the other during a release: each time a fifth of the fleet joins this one.
+/// Planners restart one after the other during a release. At each restart a fifth of the fleet joins this
+/// planner.
 TEST(FleetTest, HoldWhenProxiesOfOtherPlannersJoinDuringARelease) {
     SimulatedFleet fleet({.seed = 3});
     addEndpoints(fleet);
@@ -138,9 +144,9 @@
     EXPECT_TRUE(fleet.violations().empty()) << violationsText(fleet);
 }
 
-/// Four of five planners are killed during a release, and all of their proxies join the fifth with complete inherited
-/// tables while it has ejected some endpoints. Regression: each exclusion was ordered again and again for all of them,
-/// and proxies still used endpoints 3.2 s after their drain was announced.
+/// Four of five planners crash during a release, and all of their proxies join the fifth with complete
+/// inherited tables while it has ejected some endpoints. Regression: the planner ordered each exclusion
+/// repeatedly for all of these proxies, and some still used endpoints 3.2 s after their drain was announced.
 TEST(FleetTest, HoldWhenAllProxiesJoinAPlannerThatHasEjectedEndpoints) {
     SimulatedFleet fleet({.proxyCount = 80,
                           .zoneCount = 2,
@@ -173,7 +179,8 @@
     EXPECT_TRUE(fleet.violations().empty()) << violationsText(fleet);
 }
 
-/// A third of the proxies stalls for a while, another third loses its streams and reconnects.
+/// A third of the proxies stalls for five seconds, and another third loses its streams and reconnects after a
+/// second.
 TEST(FleetTest, HoldWhenProxiesStallAndStreamsBreakUnderLoad) {
     SimulatedFleet fleet({.seed = 4});
     addEndpoints(fleet);
@@ -193,14 +200,15 @@
     EXPECT_TRUE(fleet.violations().empty()) << violationsText(fleet);
 }
 
-/// However slow the channel is, no more lines are unacknowledged than the queue may hold.
+/// The number of lines in the queue stays within its limit even if the channel transmits almost nothing.
 TEST(FleetTest, QueueLimitHoldsWhenTheChannelIsStuck) {
     SimulatedFleet fleet({.slowdown = 1e6});
     joinAllProxiesToANewPlanner(fleet);
     EXPECT_EQ(fleet.violations().count(FleetRule::QueueLimit), 0U) << violationsText(fleet);
 }
 
-/// A low rate with a long queue, and few messages to each proxy: the second deployment of the incident.
+/// The second deployment of the incident: a low channel rate, a long queue, and a limit of 20 messages to
+/// each proxy within kMessageWindow.
 TEST(FleetTest, HoldWithAMessageRateLimitAndASlowChannel) {
     SimulatedFleet fleet({.linesPerSecond = 3500,
                           .maxQueuedLines = 57'600,
--- a/tests/incident_test.cpp
+++ b/tests/incident_test.cpp
@@ -1,5 +1,6 @@
-// The incident of docs/incidents/2026-12-backlog-drain.md on the built planner: proxies on loopback sockets that
-// acknowledge late, never, or end. The planner's own timeouts mark the time, by its connections to discovery.
+// Reproduces the incident of docs/incidents/2026-12-backlog-drain.md on the built planner, with proxies on
+// loopback sockets that acknowledge late or never, or disconnect. The tests measure time by the planner's own
+// timeouts, which show as its connections to discovery.
 #include "planner_process.h"
 
 #include <deque>
@@ -22,7 +23,8 @@
     "EgressPerS":1300.0,"Envelope":6.0,"QueueCap":2000.0,"PushDelayS":0.2,"WorstTransitS":0.4,"Standing":6,
     "ThrottleBy":"rps","PeriodS":1.0},"TickS":0.005,"WeightKind":"rough","Zones":["a","b"]})";
 
-/// Entries of an endpoint list: endpoints from `first` to `end`, those below `firstReady` draining.
+/// Entries of an endpoint list for the endpoints from `first` up to, and not including, `end`. Those below
+/// `firstReady` are draining.
 std::string endpointList(int first, int firstReady, int end) {
     std::string list;
     for (int k = first; k < end; ++k) {
@@ -36,12 +38,13 @@
     return text.find(part) != std::string_view::npos;
 }
 
-/// The lines of a push line as the protocol counts them. A message ends with the one that has no `part`.
+/// The number of channel lines of one push line, as the protocol counts them. A message may consist of
+/// several push lines. Its last one has no `part`, and the overhead of the message is added there.
 double countPartLines(std::string_view line) {
     return countLines(line) + (contains(line, " part=1") ? 0 : kMessageOverheadLines);
 }
 
-/// Whether the proxy does not pick s-1 any more once it has applied the line.
+/// Whether a proxy that applies the line stops picking s-1.
 bool removesEndpointOne(const std::string& line) {
     const auto exclusions = line.find(" drop=");
     const bool isExcluded =
@@ -52,7 +55,7 @@
 }
 
 struct IncidentTest : PlannerProcess {
-    /// A proxy's stream, which counts the lines that it is sent.
+    /// A proxy's stream. It counts the lines that it receives.
     struct Proxy {
         TestConnection peer;
         int number;
@@ -71,7 +74,8 @@
             peer.write("ack proxy=" + std::to_string(number) + " mark=" +
                        std::to_string(std::stoi(line.substr(barrier + kBarrier.size()))) + " took_ms=1\r\n");
         }
-        /// Reads all that the planner has written so far: it answers a probe after that. Calls `handleLine` for each.
+        /// Reads all that the planner has written so far, and calls `handleLine` for each line. Sends a probe
+        /// and reads until its answer, which the planner writes after everything else.
         void readAll(const auto& handleLine) {
             peer.write("probe\r\n");
             for (std::string line; line != "alive\r\n";) {
@@ -96,7 +100,8 @@
         }
         return proxies;
     }
-    /// The planner's next connection to discovery. It gives up the one before some 3.5 s after its request.
+    /// Accepts the planner's next connection to discovery. The planner closes an unanswered connection about
+    /// 3.5 s after its request, and then opens the next one.
     TestConnection acceptWatch() {
         TestConnection watch = unconnected();
         discovery.accept(watch.socket);
@@ -105,18 +110,18 @@
     }
 };
 
-/// Regression: unacknowledged lines were taken to have left after ten seconds, and as many again were written: a slow
-/// channel then exceeded its queue limit (1,051 times in the incident's second replay).
+/// Regression: the planner assumed that unacknowledged lines had left the channel after ten seconds and wrote
+/// as many again, so a slow channel exceeded its queue limit (1,051 times in the incident's second replay).
 TEST_F(IncidentTest, UnacknowledgedLinesNeverExceedTheQueueLimit) {
     const std::uint16_t port = startIncident();
     std::deque<Proxy> proxies = joinProxies(port, 0, 60);
-    for (int round = 0; round < 5; ++round) { // each longer than 3 s
+    for (int round = 0; round < 5; ++round) { // each takes more than 3 s
         TestConnection watch = acceptWatch();
         watch.write(listResponse(2 + round, true, endpointList(0, 4 * round, kEndpointCount + 4 * round)));
-        watch.readUntil("\r\n\r\n"); // it continues to watch, and receives nothing more
+        watch.readUntil("\r\n\r\n"); // the planner's next watch request, which is not answered
         boost::system::error_code end;
         asio::read(watch.socket, asio::dynamic_buffer(watch.received), end);
-        EXPECT_EQ(end, asio::error::eof); // it has given up the watch
+        EXPECT_EQ(end, asio::error::eof); // the planner has closed the watch
     }
     double unacknowledgedLines = 0;
     for (Proxy& proxy : proxies) {
@@ -127,8 +132,9 @@
     EXPECT_GT(unacknowledgedLines, 0);
 }
 
-/// Regression: lines written to streams that have ended occupied the queue for ten seconds; others were not notified of
-/// a drain meanwhile (294 times in the incident's first replay, the first 9.7 s late).
+/// Regression: lines written to streams that had since closed counted as queued for ten seconds. Meanwhile
+/// the other proxies were not notified of a drain (294 times in the incident's first replay, the first 9.7 s
+/// late).
 TEST_F(IncidentTest, ADrainIsAnnouncedWhileLinesOfEndedStreamsAreUnacknowledged) {
     const std::uint16_t port = startIncident();
     TestConnection watch = acceptWatch();
@@ -138,17 +144,17 @@
         std::deque<Proxy> leaving = joinProxies(port, 0, 60);
         for (Proxy& proxy : leaving) proxy.peer.write("probe\r\n");
         for (Proxy& proxy : leaving) proxy.peer.readLineWith("alive");
-        watch.write(listResponse(
-            3, false, endpointList(0, 1, 1))); // one drains: all are notified, as far as there is capacity
+        // One endpoint drains, of which all proxies are notified as far as the channel has capacity.
+        watch.write(listResponse(3, false, endpointList(0, 1, 1)));
         watch.readUntil("\r\n\r\n");
-        for (int k = 0; k < 5; ++k) // some batches pass
+        for (int k = 0; k < 5; ++k) // gives the planner time for some batches
             for (Proxy& proxy : leaving) proxy.readAll();
     }
     std::deque<Proxy> staying = joinProxies(port, 60, 80);
     watch.write(listResponse(4, false, endpointList(1, 2, 2)));
     watch.readUntil("\r\n\r\n");
 
-    // Each has to stop using s-1 before the planner gives up this watch.
+    // Each proxy has to stop using s-1 before the planner closes this watch.
     discovery.non_blocking(true);
     std::set<int> notNotified;
     for (const Proxy& proxy : staying) notNotified.insert(proxy.number);
--- a/tests/planner_rules_test.cpp
+++ b/tests/planner_rules_test.cpp
@@ -1,4 +1,5 @@
-// The planner as a whole: the safety rules, checked after every step of random days and of one at full size.
+// Tests the planner as a whole: the safety rules must hold after every step of random event sequences, and of
+// a rolling release with a mass reconnect at full size.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -22,7 +23,7 @@
     PlannerRestarts
 };
 
-/// Shown by RapidCheck in the days that break a rule.
+/// Used by RapidCheck to print the event sequence that violates a rule.
 std::ostream& operator<<(std::ostream& out, Happening happening) {
     constexpr const char* kNames[] = {
         "EndpointDrains", "EndpointIsRemoved", "EndpointStarts",   "ProxyLeaves",    "ProxyJoins",
@@ -37,7 +38,8 @@
                             ProbesComplete, PlannerRestarts);
 }
 
-/// `who`: the endpoint or proxy that it happens to; `part`: how much of it, 0 to 1.
+/// Applies an event to the model. `who` is the id of the endpoint or proxy concerned. `part`, from 0 to 1,
+/// sets the failure ratio, the proxy's request rate, the slowdown of the channel or the result of probes.
 void play(ProxyModel& model, Happening happening, std::uint16_t who, double part) {
     const auto failureRatio = [part, who](std::uint64_t id) { return id % 12 == who ? 1.0 : part; };
     switch (happening) {
@@ -85,7 +87,8 @@
     EXPECT_TRUE(held);
 }
 
-/// 150 proxies reconnect at once with their full tables, some of which have ended meanwhile.
+/// Reconnects 150 proxies at the same time with the endpoints of their tables, some of which have begun to
+/// drain meanwhile.
 void reconnectMost(ProxyModel& model) {
     for (std::uint16_t proxy = 0; proxy < 150; ++proxy) {
         std::set<EndpointId> inherited;
@@ -95,7 +98,8 @@
     }
 }
 
-/// A deploy in batches and a mass reconnect at full size.
+/// Plays a rolling release in batches and a mass reconnect at full size. Returns the resulting tables,
+/// exclusions and events.
 auto playLargeDay(ProxyModel& model) {
     constexpr std::uint64_t kBatchSize = 30;
     model.channel = {7000, 6, 20000, 0, 10s, 200ms, 500ms};
--- a/tests/proxy_model.cpp
+++ b/tests/proxy_model.cpp
@@ -1,3 +1,4 @@
+// Implements the simulated environment of a planner, and the checks of the safety rules.
 #include "proxy_model.h"
 
 #include <algorithm>
@@ -9,10 +10,11 @@
 constexpr Micros kStep = 50ms;
 constexpr double kStepSeconds = 0.05;
 
-/// Of this model: its step and the time that a message needs.
+/// Added to drain deadlines: the time resolution and the transit time of this model delay a message by as
+/// much.
 constexpr Micros kSlack = 250ms;
 
-/// Most endpoints that a bootstrap table names; a proxy that holds more comes with a full table.
+/// Maximum number of endpoints in a bootstrap table. A proxy that holds more joins with a full table.
 constexpr std::size_t kMaxBootstrapEndpoints = 6;
 
 void insertOrErase(std::set<EndpointId>& set, EndpointId endpoint, bool isMember) {
@@ -176,7 +178,7 @@
     for (auto& [id, proxy] : proxies) {
         const bool isNamed = assignedTables.contains(id) ? tables[assignedTables[id]].contains(endpoint)
                                                          : proxy.inheritedEndpoints.contains(endpoint);
-        if (!isNamed) { // no line is needed
+        if (!isNamed) { // the change needs no line in the channel
             insertOrErase(proxy.excluded, endpoint, isExcluded);
             continue;
         }
--- a/tests/proxy_model.h
+++ b/tests/proxy_model.h
@@ -1,5 +1,5 @@
-// A model of what proxies hold, of the control channel and of the endpoint list, with the safety rules checked after
-// every step. It knows the planner's interface and nothing of its internals.
+// A model of the environment of one planner: the state of its proxies, the control channel and the endpoint
+// list. It checks the safety rules after every simulation step and uses only the planner's public interface.
 #pragma once
 
 #include <deque>
@@ -17,26 +17,26 @@
 
 using namespace std::chrono_literals;
 
-/// Plays the environment of one planner: takes its routing updates, carries them to modelled proxies and tells it of
-/// what happens.
+/// Simulates the environment of one planner: receives its routing updates, delivers them to modelled proxies
+/// over a modelled control channel, and passes the planner its inputs.
 class ProxyModel : public RoutingUpdateSink {
 public:
     using EndpointWeights = std::map<EndpointId, double>;
     using LatencyOf = std::function<Micros(std::uint64_t)>;
 
-    /// A joined proxy, as far as it has applied what was sent to it.
+    /// The state of a joined proxy after the messages that it has applied so far.
     struct ProxyState {
         ZoneId zone{};
         Micros joinedAt{};
-        Micros withoutEndpointSince{-1}; ///< negative: it has one
+        Micros withoutEndpointSince{-1}; ///< negative: it has at least one endpoint, or no endpoint is warm
         std::set<EndpointId> inheritedEndpoints = {};
         bool hasAssignedTable = false;
         EndpointWeights weights = {};
         std::set<EndpointId> excluded = {};
-        std::map<EndpointId, bool> exclusionsSent = {}; ///< the last one for each endpoint, on this stream
+        std::map<EndpointId, bool> exclusionsSent = {}; ///< by endpoint: the last value sent on this stream
         std::deque<Micros> messagesSentAt = {};
     };
-    /// What proxies have to apply, and what it costs in the control channel.
+    /// A batch of updates to one proxy, with its size in the control channel.
     struct Message {
         ProxyId proxy;
         double lines = 0;
@@ -44,14 +44,15 @@
         BarrierId barrier{};
         Micros arrivesAt{};
     };
-    /// What the endpoint list says of an endpoint.
+    /// An endpoint's entry in the endpoint list, with the times at which the list announced its start and its
+    /// end.
     struct ListedEndpoint {
         EndpointUpdate entry;
         Micros startListedAt{-1h};
-        Micros endListedAt{-1}; ///< negative: it has not ended
+        Micros endListedAt{-1}; ///< negative: neither draining nor removed
     };
 
-    // -- settings, to be changed before start() --
+    // -- settings, to be changed before start(); only `slowdown` may also change later --
     FleetConfig fleet{.zoneCount = 2,
                       .plannerCount = 2,
                       .hasEndpointWeights = true,
@@ -65,10 +66,10 @@
         {1s, 3s, 3, .1, Idempotency::Idempotent, false, false},
         {1s, 3s, 2, .1, Idempotency::IdempotencyKeyed, false, true},
         {1s, 3s, 4, .1, Idempotency::NonIdempotent, false, true}};
-    bool forgetsEndpoints = false;    ///< as the transport on sockets does
-    bool sendsExclusionsOnce = false; ///< so too: what a stream was told is not sent again
-    bool checksRules = true;          ///< false: for days that are only recorded, which take less time then
-    double slowdown = 1;              ///< factor by which the control channel is slower than its limit
+    bool forgetsEndpoints = false;    ///< forgetEndpoint() succeeds, as with the socket transport
+    bool sendsExclusionsOnce = false; ///< does not resend a stream's last value, as the socket transport does
+    bool checksRules = true;          ///< false saves time in runs that are only recorded
+    double slowdown = 1;              ///< factor by which the control channel is slower than `channel` says
 
     // -- state --
     std::unique_ptr<Planner> planner;
@@ -80,32 +81,35 @@
     std::set<EndpointId> excluded;
     std::deque<Message> queue;
 
-    // -- what was ordered, for tests to read and clear --
+    // -- updates received from the planner, for tests to read and clear --
     std::vector<EndpointId> probes;
     std::vector<std::pair<EndpointId, double>> weightUpdates;
     std::vector<std::pair<ProxyId, TableId>> assignments;
     std::vector<std::pair<RequestClassSet, double>> admissionLimits;
     std::vector<PlannerEvent> events;
-    std::vector<std::string> violations; ///< rules that were broken
+    std::vector<std::string> violations; ///< the violated rules, in order of occurrence
 
-    // -- what happens --
-    /// Starts a planner, which is told the endpoint list.
+    // -- inputs to the planner --
+    /// Starts a planner and sends it the endpoint list.
     void start(std::uint64_t seed = 7);
-    /// The planner is killed and starts over; its proxies come back with what they hold.
+    /// Replaces the planner by a new one, as after a crash. All proxies rejoin with the endpoints and the
+    /// exclusions that they hold.
     void restart(std::uint64_t seed);
-    /// One batch: an input, then the decisions.
+    /// Runs one batch: the input, then the planner's decisions.
     void batch(const auto& input) {
         planner->beginBatch(now);
         input();
         decide();
     }
-    /// Adds a ready endpoint to the list, of which nobody is notified.
+    /// Adds a ready endpoint to the list without notifying the planner.
     EndpointUpdate& addEndpoint(std::uint64_t id, double weight = 1, std::uint8_t zone = 0);
-    /// The endpoint list has an update for one endpoint.
+    /// Sends an endpoint list update for one endpoint. A negative `startedAt` leaves its start time
+    /// unchanged.
     void updateEndpoint(std::uint64_t id, EndpointState state, Micros startedAt = -1us);
     void join(std::uint16_t id, std::uint8_t zone, double rate, std::set<EndpointId> inheritedEndpoints);
     void leave(std::uint16_t id);
-    /// The reports of an interval: each endpoint in service gets `attempts`, of which `failureRatio(id)` fails.
+    /// Reports one interval: `attempts` at each endpoint that is ready and not excluded, of which the
+    /// fraction `failureRatio(id)` fails, and each proxy's demand.
     void reportLoad(
         std::uint32_t attempts, const auto& failureRatio,
         const LatencyOf& latency = [](auto) { return 200ms; }) {
@@ -119,9 +123,9 @@
         reportDemand();
         decide();
     }
-    /// All outstanding probes end in the same way.
+    /// Completes all outstanding probes with the same result.
     void completeProbes(ProbeStatus status, Micros latency = 5ms);
-    /// Time passes, in steps.
+    /// Advances the time in simulation steps. Each delivers messages, runs a batch and checks the rules.
     void advance(Micros span);
 
     // -- routing updates --
@@ -154,7 +158,7 @@
     void checkProxy(ProxyState& proxy, bool anyWarm);
     void checkMessageCount(ProxyState& proxy);
 
-    Micros wakeUpAt_{-1}; ///< negative: none is scheduled
+    Micros wakeUpAt_{-1}; ///< negative: no wake-up is scheduled
     std::map<TableId, std::set<RequestClassSet>> limitedClasses_;
     std::map<ProxyId, Message> openMessages_;
     std::deque<Message> inFlight_;
--- a/tests/settled_model.h
+++ b/tests/settled_model.h
@@ -1,4 +1,5 @@
-// What the planner's tests share: a proxy model whose planner has settled, and short questions to it.
+// Shared fixtures of the planner's tests: a proxy model whose planner has reached a steady state, and
+// functions that query or drive it.
 #pragma once
 
 #include <memory>
@@ -7,11 +8,11 @@
 
 namespace zincstack::tests {
 
-/// For ProxyModel::reportLoad: no attempt fails.
+/// A failure ratio for ProxyModel::reportLoad with which no attempt fails.
 inline constexpr auto kNoFailures = [](std::uint64_t) { return 0.0; };
 
-/// A model of `endpointCount` warm endpoints (ids from 1), with proxies that have joined and got their tables, and with
-/// good load reports. What was ordered until then is cleared from `weightUpdates`.
+/// A model with `endpointCount` warm endpoints (ids from 1) and proxies that have joined and received their
+/// tables, after one load report without failures. Clears the weight updates up to then from `weightUpdates`.
 inline std::unique_ptr<ProxyModel> settledModel(std::size_t endpointCount, std::uint16_t proxyCount = 4) {
     auto model = std::make_unique<ProxyModel>();
     for (std::uint64_t id = 1; id <= endpointCount; ++id) model->addEndpoint(id);
@@ -25,7 +26,7 @@
     return model;
 }
 
-/// The weight of an endpoint in the first table, as last ordered.
+/// The weight that the planner last set for the endpoint in the first table; 0 if the table does not name it.
 inline double weightOf(const ProxyModel& model, std::uint64_t endpoint) {
     const auto table = model.tables.find({0});
     if (table == model.tables.end()) return 0;
@@ -33,7 +34,7 @@
     return found == table->second.end() ? 0 : found->second;
 }
 
-/// Good load reports once a second for so many seconds.
+/// Advances the time by `count` seconds, with a load report without failures at the start of each.
 inline void passCalmSeconds(ProxyModel& model, int count) {
     for (int second = 0; second < count; ++second) {
         model.reportLoad(20, kNoFailures);
--- a/tests/simulated_channel.h
+++ b/tests/simulated_channel.h
@@ -1,4 +1,5 @@
-// A model of the control channel: a FIFO queue that is emptied at a constant rate, and a transit time with jitter.
+// A model of the control channel: a FIFO queue that transmits at a constant rate, and a transit time with
+// jitter.
 #pragma once
 
 #include <algorithm>
@@ -14,14 +15,16 @@
 
 namespace zincstack::tests {
 
+/// A message in the simulated channel.
 struct SimulatedMessage {
     std::uint16_t proxy;
-    std::uint64_t session; ///< for which it was written; another one never receives it
-    double lines;          ///< overhead included
+    std::uint64_t session; ///< the proxy's session that it was written for; other sessions do not receive it
+    double lines;          ///< including the message overhead
     std::string text;
     Micros arrivesAt{};
 };
 
+/// Delays messages by queueing and transit. Messages never overtake each other.
 class SimulatedChannel {
 public:
     SimulatedChannel(double linesPerSecond, Micros meanTransitTime, std::uint64_t seed)
@@ -31,9 +34,11 @@
         queuedLines_ += message.lines;
         queue_.push_back(std::move(message));
     }
+    /// Lines that have not been transmitted yet.
     double queuedLines() const { return queuedLines_; }
 
-    /// Lets as many messages leave the queue as the rate allows in that time.
+    /// Transmits as many queued messages as the rate allows in the elapsed time. Unused capacity is kept only
+    /// while messages are queued.
     void transmit(Micros now, Micros elapsed) {
         capacity_ += linesPerSecond_ * std::chrono::duration<double>(elapsed).count();
         while (!queue_.empty() && queue_.front().lines <= capacity_) {
@@ -49,7 +54,7 @@
         if (queue_.empty()) capacity_ = 0;
     }
 
-    /// Messages that have arrived, in order.
+    /// Removes and returns the messages that have arrived, in the order in which they were sent.
     std::vector<SimulatedMessage> takeArrived(Micros now) {
         std::vector<SimulatedMessage> arrived;
         for (; !inTransit_.empty() && inTransit_.front().arrivesAt <= now; inTransit_.pop_front())
@@ -70,7 +75,7 @@
     std::deque<SimulatedMessage> queue_;
     std::deque<SimulatedMessage> inTransit_;
     double queuedLines_ = 0;
-    double capacity_ = 0; ///< lines that may leave now
+    double capacity_ = 0; ///< lines that may be transmitted now
 };
 
 } // namespace zincstack::tests
--- a/tests/simulated_fleet.cpp
+++ b/tests/simulated_fleet.cpp
@@ -1,3 +1,4 @@
+// Implements the simulation of a fleet of proxies on one planner.
 #include "simulated_fleet.h"
 
 #include <utility>
@@ -27,11 +28,12 @@
     return names;
 }
 
-/// A few proxies have most of the requests.
+/// Requests per second. Skewed: one proxy in 20 has 15 times the rate of the others.
 double requestRateOf(std::uint16_t proxy) { return proxy % 20 == 0 ? 30 : 2; }
 
 } // namespace
 
+/// The stream of one proxy. It passes each write to the fleet.
 class SimulatedFleet::Stream final : public net::PushStream {
 public:
     Stream(SimulatedFleet& owner, std::uint16_t ofProxy) : fleet_(owner), proxy_(ofProxy) {}
--- a/tests/simulated_fleet.h
+++ b/tests/simulated_fleet.h
@@ -1,6 +1,7 @@
-// An independent model of a whole fleet of proxies on the streams of one planner. It reads the bytes that the planner
-// writes, derives from them what each proxy may pick as the protocol page states it, and checks the rules after every
-// step. It shares no code with the planner beyond the interface that it drives.
+// An independent model of a whole fleet of proxies on the streams of one planner. It parses the bytes that
+// the planner writes, derives from them which endpoints each proxy may pick according to the protocol
+// documentation, and checks the rules after every step. It shares no code with the planner beyond the
+// interface that it drives.
 #pragma once
 
 #include <cstdint>
@@ -22,12 +23,13 @@
 
 namespace zincstack::tests {
 
-/// A change of an endpoint, by its index in the fleet.
+/// A state change of an endpoint, which is given by its index in the fleet.
 struct EndpointChange {
     std::size_t endpoint;
     EndpointState state;
 };
 
+/// A planner with its endpoints, its proxies and the control channel between them, in simulated time.
 class SimulatedFleet {
 public:
     explicit SimulatedFleet(const SimulatedFleetConfig& config);
@@ -35,40 +37,43 @@
     SimulatedFleet(const SimulatedFleet&) = delete;
     SimulatedFleet& operator=(const SimulatedFleet&) = delete;
 
-    // Service discovery.
+    // -- service discovery --
 
-    /// Adds an endpoint without announcing it. By default it started long ago.
+    /// Adds an endpoint without announcing it, and returns its index. By default it started long ago, so it
+    /// is warm.
     std::size_t addEndpoint(EndpointState state = EndpointState::Ready, Micros startedAt = Micros{});
     void announceAllEndpoints(EndpointListUpdate kind = EndpointListUpdate::Snapshot);
     void announceChanges(const std::vector<EndpointChange>& changes);
-    /// Adds an endpoint that starts now, and announces it.
+    /// Adds an endpoint that starts now, announces it and returns its index.
     std::size_t startEndpoint();
 
-    // Proxies' sessions.
+    // -- sessions of proxies --
 
-    /// The proxy connects with the table that it holds, or (`fresh`) with its bootstrap table.
+    /// Connects the proxy, which holds `table`. `fresh` says that it is a bootstrap table, not an inherited
+    /// one.
     void join(std::uint16_t proxy, const EndpointSet& table, bool fresh);
     void leave(std::uint16_t proxy);
-    /// A stalled proxy neither reads nor acknowledges; afterwards it continues with what arrived meanwhile.
+    /// A stalled proxy neither reads nor acknowledges messages. After the stall it reads those that have
+    /// arrived.
     void setStalled(std::uint16_t proxy, bool isStalled);
 
-    // Time and reports.
+    // -- time and reports --
 
     void advance(Micros duration);
-    /// Every proxy used every endpoint that it may pick, with success.
+    /// Reports successful attempts at every ready endpoint from every zone, and the demand of every proxy.
     void reportSuccess();
-    /// The same, but most attempts at the failing endpoints failed.
+    /// Like reportSuccess(), but 18 of 20 attempts at the failing endpoints fail.
     void reportFailures(const std::function<bool(std::size_t endpoint)>& isFailing);
     void timeOutProbes();
     void answerProbes();
 
-    // Observation.
+    // -- observation --
 
     EndpointSet readyEndpoints() const;
     const SimulatedFleetConfig& config() const { return config_; }
     Micros now() const { return now_; }
     const std::map<FleetRule, RuleViolations>& violations() const { return rules_.violations(); }
-    /// Called with everything that is written to a proxy's stream.
+    /// Called with the bytes of each write to a proxy's stream.
     using WriteObserver = std::function<void(std::uint16_t proxy, std::string_view bytes)>;
     void setWriteObserver(WriteObserver observer) { writeObserver_ = std::move(observer); }
 
--- a/tests/simulated_proxy.cpp
+++ b/tests/simulated_proxy.cpp
@@ -1,3 +1,4 @@
+// Implements how a simulated proxy applies the planner's push messages.
 #include "simulated_proxy.h"
 
 #include "push_message_reader.h"
@@ -6,6 +7,7 @@
 
 namespace {
 
+/// The index of an endpoint from its name, "s-" and the index.
 std::size_t endpointIndexOf(std::string_view name) {
     return static_cast<std::size_t>(std::stoul(std::string(name.substr(2))));
 }
