--- a/tests/planner_rules_test.cpp
+++ b/tests/planner_rules_test.cpp
@@ -10,61 +10,65 @@
 namespace zincstack::tests {
 namespace {
 
-enum class Happening {
+enum class FleetEvent {
     EndpointDrains,
     EndpointIsRemoved,
     EndpointStarts,
     ProxyLeaves,
     ProxyJoins,
     AttemptsFail,
-    AllAreSlow,
+    AttemptsAreSlow,
     ChannelSlowsDown,
     ProbesComplete,
     PlannerRestarts
 };
 
 /// Used by RapidCheck to print the event sequence that violates a rule.
-std::ostream& operator<<(std::ostream& out, Happening happening) {
+std::ostream& operator<<(std::ostream& out, FleetEvent event) {
     constexpr const char* kNames[] = {
         "EndpointDrains", "EndpointIsRemoved", "EndpointStarts",   "ProxyLeaves",    "ProxyJoins",
-        "AttemptsFail",   "AllAreSlow",        "ChannelSlowsDown", "ProbesComplete", "PlannerRestarts"};
-    return out << kNames[static_cast<int>(happening)];
+        "AttemptsFail",   "AttemptsAreSlow",   "ChannelSlowsDown", "ProbesComplete", "PlannerRestarts"};
+    return out << kNames[static_cast<int>(event)];
 }
 
-rc::Gen<Happening> anyHappening() {
-    using enum Happening;
+rc::Gen<FleetEvent> anyFleetEvent() {
+    using enum FleetEvent;
     return rc::gen::element(EndpointDrains, EndpointIsRemoved, EndpointStarts, EndpointStarts, ProxyLeaves,
-                            ProxyJoins, ProxyJoins, AttemptsFail, AllAreSlow, ChannelSlowsDown,
+                            ProxyJoins, ProxyJoins, AttemptsFail, AttemptsAreSlow, ChannelSlowsDown,
                             ProbesComplete, PlannerRestarts);
 }
 
-/// Applies an event to the model. `who` is the id of the endpoint or proxy concerned. `part`, from 0 to 1,
+/// Applies an event to the model. `target` is the id of the endpoint or proxy concerned. `fraction`, 0 to 1,
 /// sets the failure ratio, the proxy's request rate, the slowdown of the channel or the result of probes.
-void play(ProxyModel& model, Happening happening, std::uint16_t who, double part) {
-    const auto failureRatio = [part, who](std::uint64_t id) { return id % 12 == who ? 1.0 : part; };
-    switch (happening) {
-    case Happening::EndpointDrains: model.updateEndpoint(who, EndpointState::Draining); break;
-    case Happening::EndpointIsRemoved: model.updateEndpoint(who, EndpointState::Removed); break;
-    case Happening::EndpointStarts: model.updateEndpoint(who, EndpointState::Ready, model.now - 500ms); break;
-    case Happening::ProxyLeaves: model.leave(who); break;
-    case Happening::ProxyJoins:
-        model.join(who, static_cast<std::uint8_t>(who % 2), 100 * part, {{who}, {who + 1U}});
+void applyEvent(ProxyModel& model, FleetEvent event, std::uint16_t target, double fraction) {
+    const auto failureRatio = [fraction, target](std::uint64_t id) {
+        return id % 12 == target ? 1.0 : fraction;
+    };
+    switch (event) {
+    case FleetEvent::EndpointDrains: model.updateEndpoint(target, EndpointState::Draining); break;
+    case FleetEvent::EndpointIsRemoved: model.updateEndpoint(target, EndpointState::Removed); break;
+    case FleetEvent::EndpointStarts:
+        model.updateEndpoint(target, EndpointState::Ready, model.now - 500ms);
         break;
-    case Happening::AttemptsFail: model.reportLoad(20, failureRatio); break;
-    case Happening::AllAreSlow: model.reportLoad(20, kNoFailures, [](auto) { return 3s; }); break;
-    case Happening::ChannelSlowsDown: model.slowdown = 1 + 4 * part; break;
-    case Happening::ProbesComplete:
-        model.completeProbes(part < 0.5 ? ProbeStatus::TimedOut : ProbeStatus::Answered);
+    case FleetEvent::ProxyLeaves: model.leave(target); break;
+    case FleetEvent::ProxyJoins:
+        model.join(target, static_cast<std::uint8_t>(target % 2), 100 * fraction, {{target}, {target + 1U}});
         break;
-    case Happening::PlannerRestarts: model.restart(who); break;
+    case FleetEvent::AttemptsFail: model.reportLoad(20, failureRatio); break;
+    case FleetEvent::AttemptsAreSlow: model.reportLoad(20, kNoFailures, [](auto) { return 3s; }); break;
+    case FleetEvent::ChannelSlowsDown: model.slowdown = 1 + 4 * fraction; break;
+    case FleetEvent::ProbesComplete:
+        model.completeProbes(fraction < 0.5 ? ProbeStatus::TimedOut : ProbeStatus::Answered);
+        break;
+    case FleetEvent::PlannerRestarts: model.restart(target); break;
     }
 }
 
-TEST(PlannerRules, HoldOnRandomDays) {
+TEST(PlannerRules, HoldForRandomEventSequences) {
     const auto step =
-        rc::gen::tuple(anyHappening(), rc::gen::inRange<std::uint16_t>(0, 12), rc::gen::inRange(0, 101));
-    using Steps = std::vector<std::tuple<Happening, std::uint16_t, int>>;
-    const bool held = rc::check("the five rules hold after every step", [&] {
+        rc::gen::tuple(anyFleetEvent(), rc::gen::inRange<std::uint16_t>(0, 12), rc::gen::inRange(0, 101));
+    using Steps = std::vector<std::tuple<FleetEvent, std::uint16_t, int>>;
+    const bool held = rc::check("the safety rules hold after every step", [&] {
         ProxyModel model;
         model.forgetsEndpoints = *rc::gen::element(false, true);
         model.sendsExclusionsOnce = *rc::gen::element(false, true);
@@ -77,10 +81,10 @@
         for (std::uint16_t proxy = 0; proxy < 8; ++proxy)
             model.join(proxy, static_cast<std::uint8_t>(proxy % 2), 5 + proxy,
                        {{proxy}, {proxy + 1U}, {proxy + 2U}});
-        for (const auto& [happening, who, percent] : *rc::gen::container<Steps>(40, step)) {
-            const double part = percent / 100.0;
-            play(model, happening, who, part);
-            model.advance(Micros(static_cast<std::int64_t>(part * 3e6)));
+        for (const auto& [event, target, percent] : *rc::gen::container<Steps>(40, step)) {
+            const double fraction = percent / 100.0;
+            applyEvent(model, event, target, fraction);
+            model.advance(Micros(static_cast<std::int64_t>(fraction * 3e6)));
             if (!model.violations.empty()) RC_FAIL(model.violations.front());
         }
     });
@@ -100,7 +104,7 @@
 
 /// Plays a rolling release in batches and a mass reconnect at full size. Returns the resulting tables,
 /// exclusions and events.
-auto playLargeDay(ProxyModel& model) {
+auto playLargeRelease(ProxyModel& model) {
     constexpr std::uint64_t kBatchSize = 30;
     model.channel = {7000, 6, 20000, 0, 10s, 200ms, 500ms};
     model.safety.drainGracePeriod = 4s;
@@ -125,10 +129,10 @@
     return std::make_tuple(model.tables, model.excluded, model.events);
 }
 
-TEST(PlannerRules, HoldAtFullSizeAndTheSameInputsGiveTheSameUpdates) {
+TEST(PlannerRules, HoldAtFullSizeAndSameInputsGiveSameUpdates) {
     ProxyModel first;
     ProxyModel second;
-    EXPECT_EQ(playLargeDay(first), playLargeDay(second));
+    EXPECT_EQ(playLargeRelease(first), playLargeRelease(second));
     EXPECT_TRUE(first.violations.empty()) << first.violations.front();
 }
 
--- a/tests/proxy_model.cpp
+++ b/tests/proxy_model.cpp
@@ -12,7 +12,7 @@
 
 /// Added to drain deadlines: the time resolution and the transit time of this model delay a message by as
 /// much.
-constexpr Micros kSlack = 250ms;
+constexpr Micros kTimingTolerance = 250ms;
 
 /// Maximum number of endpoints in a bootstrap table. A proxy that holds more joins with a full table.
 constexpr std::size_t kMaxBootstrapEndpoints = 6;
@@ -50,11 +50,11 @@
     const auto before = std::exchange(proxies, {});
     inFlight_.clear();
     start(seed);
-    for (const auto& [id, old] : before) {
-        std::set<EndpointId> inherited = old.inheritedEndpoints;
-        for (const auto& [endpoint, weight] : old.weights) inherited.insert(endpoint);
-        join(id.value, old.zone.value, 10, inherited);
-        proxies[id].excluded = old.excluded;
+    for (const auto& [id, previous] : before) {
+        std::set<EndpointId> inherited = previous.inheritedEndpoints;
+        for (const auto& [endpoint, weight] : previous.weights) inherited.insert(endpoint);
+        join(id.value, previous.zone.value, 10, inherited);
+        proxies[id].excluded = previous.excluded;
     }
 }
 
@@ -69,10 +69,10 @@
     endpoint.entry.id = {id};
     if (startedAt >= 0us) {
         endpoint.entry.startedAt = startedAt;
-        endpoint.startListedAt = now;
+        endpoint.startAnnouncedAt = now;
     }
-    if (state == EndpointState::Ready) endpoint.endListedAt = -1us;
-    if (state != EndpointState::Ready && endpoint.endListedAt < 0us) endpoint.endListedAt = now;
+    if (state == EndpointState::Ready) endpoint.endAnnouncedAt = -1us;
+    if (state != EndpointState::Ready && endpoint.endAnnouncedAt < 0us) endpoint.endAnnouncedAt = now;
     endpoint.entry.state = state;
     batch([&] { planner->updateEndpoints(EndpointListUpdate::Delta, std::span(&endpoint.entry, 1)); });
 }
@@ -148,7 +148,7 @@
 }
 
 void ProxyModel::setWeight(TableId table, EndpointId endpoint, double weight) {
-    expect(weight >= 0, "a weight below 0");
+    expect(weight >= 0, "setWeight: the weight is negative");
     weightUpdates.emplace_back(endpoint, weight);
     const bool readmits = forgetsEndpoints && weight > 0 && !excluded.contains(endpoint);
     putWeight(tables[table], endpoint, weight);
@@ -161,7 +161,7 @@
 }
 
 void ProxyModel::assignTable(ProxyId proxy, RequestClassSet, TableId table) {
-    expect(proxies.contains(proxy), "assigned a table to a proxy that has not joined");
+    expect(proxies.contains(proxy), "assignTable: the proxy has not joined");
     assignments.emplace_back(proxy, table);
     assignedTables[proxy] = table;
     const std::size_t rows = tables[table].size() + limitedClasses_[table].size() + excluded.size();
@@ -191,11 +191,11 @@
 
 void ProxyModel::setAdmission(std::optional<TableId> table, RequestClassSet requestClassSet, double limit,
                               RetryPolicy retryPolicy) {
-    expect(limit >= 0, "an admission limit below 0");
+    expect(limit >= 0, "setAdmission: the limit is negative");
     for (std::size_t index = 0; index < requestClasses.size(); ++index)
         expect(!(requestClassSet >> index & 1U) || retryPolicy <= RetryPolicy::AfterProofOfNoEffect ||
                    requestClasses[index].idempotency == Idempotency::Idempotent,
-               "no effect twice: a request that must not run twice may be sent again");
+               "retry safety: a request that is not idempotent may be retried without proof of no effect");
     admissionLimits.emplace_back(requestClassSet, limit);
     if (table) limitedClasses_[*table].insert(requestClassSet);
     for (auto& [id, proxy] : proxies)
@@ -217,7 +217,8 @@
 }
 
 void ProxyModel::scheduleWakeUp(Micros span) {
-    expect(wakeUpAt_ < 0us && span > 0us, "a wake-up beside another, or in the past");
+    expect(wakeUpAt_ < 0us && span > 0us,
+           "scheduleWakeUp: one is already scheduled, or the delay is not positive");
     wakeUpAt_ = now + span;
 }
 
@@ -261,15 +262,15 @@
 
 double ProxyModel::warmUpFraction(const ListedEndpoint& endpoint) const {
     const auto age = static_cast<double>((now - endpoint.entry.startedAt).count());
-    const double part = std::min(age / static_cast<double>(safety.warmUpDuration.count()), 1.0);
-    return safety.coldCapacityFraction + (1 - safety.coldCapacityFraction) * part;
+    const double progress = std::min(age / static_cast<double>(safety.warmUpDuration.count()), 1.0);
+    return safety.coldCapacityFraction + (1 - safety.coldCapacityFraction) * progress;
 }
 
 void ProxyModel::checkRules() {
     const bool anyWarm = hasWarmEndpoint();
     double waitingLines = 0;
     for (const Message& message : queue) waitingLines += message.lines;
-    expect(waitingLines <= channel.maxQueuedLines, "short queue: too many lines wait");
+    expect(waitingLines <= channel.maxQueuedLines, "queue limit: more than maxQueuedLines lines are queued");
     for (auto& [id, proxy] : proxies) {
         checkProxy(proxy, anyWarm);
         checkMessageCount(proxy);
@@ -287,25 +288,25 @@
     if (!hasEndpoint && anyWarm && proxy.withoutEndpointSince < 0us) proxy.withoutEndpointSince = now;
     expect(proxy.withoutEndpointSince < 0us ||
                now - proxy.withoutEndpointSince <= slowdown * safety.maxTimeWithoutEndpoint,
-           "nobody without an endpoint: a proxy has no row to pick");
+           "endpoint availability: a proxy has had no endpoint to pick for too long");
 }
 
 void ProxyModel::checkEndpoint(const ProxyState& proxy, EndpointId id, const ListedEndpoint& endpoint) {
-    const auto grace = slowdown * safety.drainGracePeriod + kSlack;
-    const Micros endKnownAt = std::max(endpoint.endListedAt, proxy.joinedAt);
-    expect(endpoint.endListedAt < 0us || now - endKnownAt <= grace,
-           "drains kept: a proxy still sends to an endpoint that drains or is removed");
-    const bool startIsKnown = now - std::max(endpoint.startListedAt, proxy.joinedAt) > grace;
+    const auto grace = slowdown * safety.drainGracePeriod + kTimingTolerance;
+    const Micros endKnownAt = std::max(endpoint.endAnnouncedAt, proxy.joinedAt);
+    expect(endpoint.endAnnouncedAt < 0us || now - endKnownAt <= grace,
+           "drain deadline: a proxy may still pick an endpoint that is draining or removed");
+    const bool startIsKnown = now - std::max(endpoint.startAnnouncedAt, proxy.joinedAt) > grace;
     const double maxWeight = endpoint.entry.weight * safety.overloadFactor * warmUpFraction(endpoint);
     expect(!proxy.hasAssignedTable || !startIsKnown || proxy.weights.at(id) <= maxWeight,
-           "no cold endpoint pushed over: its weight is above the multiple of what it can do");
+           "cold endpoint overload: its weight exceeds overloadFactor times its current capacity");
 }
 
 void ProxyModel::checkMessageCount(ProxyState& proxy) {
     std::deque<Micros>& sentAt = proxy.messagesSentAt;
     while (!sentAt.empty() && now - sentAt.front() > channel.messageWindow) sentAt.pop_front();
     expect(!channel.maxMessagesPerProxy || sentAt.size() <= channel.maxMessagesPerProxy,
-           "short queue: too many messages to one proxy");
+           "message rate: more than maxMessagesPerProxy messages to a proxy within messageWindow");
 }
 
 } // namespace zincstack::tests
--- a/tests/proxy_model.h
+++ b/tests/proxy_model.h
@@ -22,7 +22,7 @@
 class ProxyModel : public RoutingUpdateSink {
 public:
     using EndpointWeights = std::map<EndpointId, double>;
-    using LatencyOf = std::function<Micros(std::uint64_t)>;
+    using LatencyFunction = std::function<Micros(std::uint64_t)>;
 
     /// The state of a joined proxy after the messages that it has applied so far.
     struct ProxyState {
@@ -48,8 +48,8 @@
     /// end.
     struct ListedEndpoint {
         EndpointUpdate entry;
-        Micros startListedAt{-1h};
-        Micros endListedAt{-1}; ///< negative: neither draining nor removed
+        Micros startAnnouncedAt{-1h};
+        Micros endAnnouncedAt{-1}; ///< negative: neither draining nor removed
     };
 
     // -- settings, to be changed before start(); only `slowdown` may also change later --
@@ -112,7 +112,7 @@
     /// fraction `failureRatio(id)` fails, and each proxy's demand.
     void reportLoad(
         std::uint32_t attempts, const auto& failureRatio,
-        const LatencyOf& latency = [](auto) { return 200ms; }) {
+        const LatencyFunction& latency = [](auto) { return 200ms; }) {
         planner->beginBatch(now);
         for (auto& [id, endpoint] : listed) {
             if (endpoint.entry.state != EndpointState::Ready || excluded.contains(id)) continue;
@@ -134,7 +134,7 @@
     void setExcluded(EndpointId endpoint, bool isExcluded) override;
     void setAdmission(std::optional<TableId> table, RequestClassSet requestClassSet, double limit,
                       RetryPolicy retryPolicy) override;
-    bool clearStaleExclusions(ProxyId proxy, std::size_t most) override;
+    bool clearStaleExclusions(ProxyId proxy, std::size_t maxEndpoints) override;
     void requestBarrier(BarrierId barrier, bool everyProxy) override;
     void probe(EndpointId endpoint) override { probes.push_back(endpoint); }
     void subscribeToEndpoints() override {}
