--- a/tests/fleet_rules.cpp
+++ b/tests/fleet_rules.cpp
@@ -67,9 +67,9 @@
             const EndpointSet late = mayPick & ended;
             if (late.none()) continue;
             recordViolation(FleetRule::DrainDeadline, now,
-                            proxyText(id) + " may send to s-" + std::to_string(late._Find_first()) +
-                                ", announced " + millisText(now - announcedAt) + " ago, joined " +
-                                millisText(now - proxy.joinedAt) + " ago");
+                            proxyText(id) + " may pick s-" + std::to_string(late._Find_first()) +
+                                ", whose end was announced " + millisText(now - announcedAt) +
+                                " ago; the proxy joined " + millisText(now - proxy.joinedAt) + " ago");
         }
     }
 }
@@ -89,7 +89,8 @@
     proxy.writtenAt.push_back(now);
     while (now - proxy.writtenAt.front() > kMessageWindow) proxy.writtenAt.pop_front();
     if (config_.maxMessagesPerProxy > 0 && proxy.writtenAt.size() > config_.maxMessagesPerProxy)
-        recordViolation(FleetRule::MessageRate, now, proxyText(id) + " is written too many messages");
+        recordViolation(FleetRule::MessageRate, now,
+                        proxyText(id) + " was sent too many messages within the window");
 }
 
 void FleetRules::checkQueue(Micros now, double queuedLines) {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -74,8 +74,8 @@
     const Micros start_;
 };
 
-constexpr auto kNothing = [] {};
-constexpr auto kNothingThatSecond = [](int) {};
+constexpr auto kNoStepAction = [] {};
+constexpr auto kNoSecondAction = [](int) {};
 
 /// Runs the fleet. Calls `playSecond` once and `playStep` ten times per second, and reports all requests as
 /// successful.
@@ -109,7 +109,7 @@
     play(fleet, 24, playSecond, [&] { arrivals.playUntilNow(); });
 }
 
-TEST(FleetTest, HoldWhenAllProxiesJoinAtOnceWithInheritedTablesDuringARelease) {
+TEST(FleetTest, RulesHoldWhenAllProxiesJoinAtOnceWithInheritedTablesDuringARelease) {
     for (const std::uint64_t seed : {1, 2}) {
         SimulatedFleet fleet({.seed = seed});
         joinAllProxiesToANewPlanner(fleet);
@@ -117,7 +117,7 @@
     }
 }
 
-TEST(FleetTest, HoldWhenTheChannelIsSlowerThanConfigured) {
+TEST(FleetTest, RulesHoldWhenTheChannelIsSlowerThanConfigured) {
     SimulatedFleet fleet({.slowdown = 5});
     joinAllProxiesToANewPlanner(fleet);
     EXPECT_TRUE(fleet.violations().empty()) << violationsText(fleet);
@@ -125,29 +125,29 @@
 
 /// Planners restart one after the other during a release. At each restart a fifth of the fleet joins this
 /// planner.
-TEST(FleetTest, HoldWhenProxiesOfOtherPlannersJoinDuringARelease) {
+TEST(FleetTest, RulesHoldWhenProxiesOfOtherPlannersJoinDuringARelease) {
     SimulatedFleet fleet({.seed = 3});
     addEndpoints(fleet);
     const EndpointSet inheritedTable = fleet.readyEndpoints();
-    const auto share = static_cast<std::uint16_t>(fleet.config().proxyCount / kPlannerCount);
-    Arrivals own(fleet, {0, share}, 1s, inheritedTable);
-    play(fleet, 20, kNothingThatSecond, [&] { own.playUntilNow(); });
+    const auto proxiesPerPlanner = static_cast<std::uint16_t>(fleet.config().proxyCount / kPlannerCount);
+    Arrivals ownArrivals(fleet, {0, proxiesPerPlanner}, 1s, inheritedTable);
+    play(fleet, 20, kNoSecondAction, [&] { ownArrivals.playUntilNow(); });
     RollingRelease release(fleet, 20);
     for (std::uint16_t planner = 1; planner < 4; ++planner) {
-        const ProxyRange proxies{static_cast<std::uint16_t>(planner * share),
-                                 static_cast<std::uint16_t>((planner + 1) * share)};
-        Arrivals others(fleet, proxies, 2s, inheritedTable);
+        const ProxyRange proxies{static_cast<std::uint16_t>(planner * proxiesPerPlanner),
+                                 static_cast<std::uint16_t>((planner + 1) * proxiesPerPlanner)};
+        Arrivals otherArrivals(fleet, proxies, 2s, inheritedTable);
         const auto playSecond = [&](int second) { release.playSecond(second); };
-        play(fleet, 6, playSecond, [&] { others.playUntilNow(); });
+        play(fleet, 6, playSecond, [&] { otherArrivals.playUntilNow(); });
     }
-    play(fleet, 12, kNothingThatSecond, kNothing);
+    play(fleet, 12, kNoSecondAction, kNoStepAction);
     EXPECT_TRUE(fleet.violations().empty()) << violationsText(fleet);
 }
 
 /// Four of five planners crash during a release, and all of their proxies join the fifth with complete
 /// inherited tables while it has ejected some endpoints. Regression: the planner ordered each exclusion
 /// repeatedly for all of these proxies, and some still used endpoints 3.2 s after their drain was announced.
-TEST(FleetTest, HoldWhenAllProxiesJoinAPlannerThatHasEjectedEndpoints) {
+TEST(FleetTest, RulesHoldWhenAllProxiesJoinAPlannerThatHasEjectedEndpoints) {
     SimulatedFleet fleet({.proxyCount = 80,
                           .zoneCount = 2,
                           .linesPerSecond = 1300,
@@ -181,7 +181,7 @@
 
 /// A third of the proxies stalls for five seconds, and another third loses its streams and reconnects after a
 /// second.
-TEST(FleetTest, HoldWhenProxiesStallAndStreamsBreakUnderLoad) {
+TEST(FleetTest, RulesHoldWhenProxiesStallAndStreamsBreakUnderLoad) {
     SimulatedFleet fleet({.seed = 4});
     addEndpoints(fleet);
     const EndpointSet inheritedTable = fleet.readyEndpoints();
@@ -209,7 +209,7 @@
 
 /// The second deployment of the incident: a low channel rate, a long queue, and a limit of 20 messages to
 /// each proxy within kMessageWindow.
-TEST(FleetTest, HoldWithAMessageRateLimitAndASlowChannel) {
+TEST(FleetTest, RulesHoldWithAMessageRateLimitAndASlowChannel) {
     SimulatedFleet fleet({.linesPerSecond = 3500,
                           .maxQueuedLines = 57'600,
                           .drainGracePeriod = 17'700ms,
--- a/tests/incident_test.cpp
+++ b/tests/incident_test.cpp
@@ -135,7 +135,7 @@
 /// Regression: lines written to streams that had since closed counted as queued for ten seconds. Meanwhile
 /// the other proxies were not notified of a drain (294 times in the incident's first replay, the first 9.7 s
 /// late).
-TEST_F(IncidentTest, ADrainIsAnnouncedWhileLinesOfEndedStreamsAreUnacknowledged) {
+TEST_F(IncidentTest, DrainIsSentWhileLinesOfClosedStreamsAreUnacknowledged) {
     const std::uint16_t port = startIncident();
     TestConnection watch = acceptWatch();
     watch.write(listResponse(2, true, endpointList(0, 0, kEndpointCount)));
@@ -156,21 +156,21 @@
 
     // Each proxy has to stop using s-1 before the planner closes this watch.
     discovery.non_blocking(true);
-    std::set<int> notNotified;
-    for (const Proxy& proxy : staying) notNotified.insert(proxy.number);
+    std::set<int> proxiesToNotify;
+    for (const Proxy& proxy : staying) proxiesToNotify.insert(proxy.number);
     TestConnection nextWatch = unconnected();
-    boost::system::error_code noConnection;
-    while (!notNotified.empty()) {
-        discovery.accept(nextWatch.socket, noConnection);
-        if (!noConnection) break;
+    boost::system::error_code acceptError;
+    while (!proxiesToNotify.empty()) {
+        discovery.accept(nextWatch.socket, acceptError);
+        if (!acceptError) break;
         for (Proxy& proxy : staying)
             proxy.readAll([&](const std::string& line) {
                 proxy.acknowledge(line);
-                if (removesEndpointOne(line)) notNotified.erase(proxy.number);
+                if (removesEndpointOne(line)) proxiesToNotify.erase(proxy.number);
             });
     }
-    EXPECT_TRUE(notNotified.empty()) << notNotified.size() << " of " << staying.size()
-                                     << " proxies were not notified in time";
+    EXPECT_TRUE(proxiesToNotify.empty())
+        << proxiesToNotify.size() << " of " << staying.size() << " proxies were not notified in time";
 }
 
 } // namespace
--- a/tests/simulated_fleet.cpp
+++ b/tests/simulated_fleet.cpp
@@ -56,7 +56,7 @@
           [](Micros) {}, channelLimitsOf(config)),
       updates_(state_, names_, counters_),
       channel_(config.linesPerSecond / config.slowdown, config.meanTransitTime, config.seed),
-      rules_(config, kStart) {
+      rules_(config, kStartTime) {
     const FleetConfig fleet{.zoneCount = config.zoneCount,
                             .plannerCount = 5,
                             .hasEndpointWeights = true,
@@ -245,7 +245,7 @@
 void SimulatedFleet::acknowledge(std::uint16_t id, BarrierId barrier) {
     if (!updates_.barrierAcknowledged({id}, barrier))
         rules_.recordViolation(FleetRule::BarrierIsKnown, now_,
-                               "a barrier is acknowledged that the planner does not wait for");
+                               "a proxy acknowledged a barrier that the planner does not wait for");
     addInput([&] { planner_->barrierAcknowledged({id}, barrier); });
 }
 
--- a/tests/simulated_fleet.h
+++ b/tests/simulated_fleet.h
@@ -92,10 +92,10 @@
     void acknowledge(std::uint16_t id, BarrierId barrier);
     void completeProbes(ProbeStatus status, Micros latency);
 
-    static constexpr Micros kStart = 1000s;
+    static constexpr Micros kStartTime = 1000s;
 
     const SimulatedFleetConfig config_;
-    Micros now_ = kStart;
+    Micros now_ = kStartTime;
     net::Counters counters_;
     net::NameRegistry names_;
     routing::RoutingState state_;
