--- a/tests/digest_decisions.cpp
+++ b/tests/digest_decisions.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr int kSeconds = 40;
-constexpr int kSecondsOfLongDay = 100; // longer than the minute for which a reduced weight is kept
-constexpr std::uint64_t kLongDayEvery = 10;
-constexpr std::uint64_t kListedLater = 100; // first id of endpoints that start during the day
+constexpr int kDaySeconds = 40;
+constexpr int kLongDaySeconds = 100; // longer than the minute for which a reduced weight is kept
+constexpr std::uint64_t kLongDaySeedInterval = 10;
+constexpr std::uint64_t kFirstLateEndpointId = 100; // first id of endpoints that start during the day
 
 /// The state of the fleet that load reports and probe results show for a few seconds.
 enum class Condition { Healthy, FewFail, FewAreSlow, FewAreSilent, AllAreSlow, MostFail };
@@ -21,8 +21,8 @@
 class RecordingModel : public ProxyModel {
 public:
     RecordedDay day;
-    bool channelIsCounted = false; ///< pendingLines() reports the queue, so the planner uses subset tables
-    std::size_t fullTables = 0;    ///< number of full tables; those with ids from this on are subset tables
+    bool measuresQueue = false; ///< pendingLines() reports the queue, so the planner uses subset tables
+    std::size_t fullTables = 0; ///< number of full tables; those with ids from this on are subset tables
 
     void setWeight(TableId table, EndpointId endpoint, double weight) override {
         countLine(table, endpoint, weight);
@@ -36,10 +36,10 @@
                {{"proxy", number(proxy)}, {"products", std::to_string(set)}, {"table", number(table)}});
         ProxyModel::assignTable(proxy, set, table);
     }
-    void setExcluded(EndpointId endpoint, bool out) override {
-        record("withdraw", {{"server", number(endpoint)}, {"out", std::to_string(out)}});
-        ++day.coverage[out ? "endpoint excluded" : "endpoint readmitted"];
-        ProxyModel::setExcluded(endpoint, out);
+    void setExcluded(EndpointId endpoint, bool isExcluded) override {
+        record("withdraw", {{"server", number(endpoint)}, {"out", std::to_string(isExcluded)}});
+        ++day.coverage[isExcluded ? "endpoint excluded" : "endpoint readmitted"];
+        ProxyModel::setExcluded(endpoint, isExcluded);
     }
     void setAdmission(std::optional<TableId> table, RequestClassSet set, double limit,
                       RetryPolicy retryPolicy) override {
@@ -70,10 +70,11 @@
         record("forget", {{"server", number(endpoint)}, {"done", std::to_string(done)}});
         return done;
     }
-    bool clearStaleExclusions(ProxyId proxy, std::size_t most) override {
-        const bool done = ProxyModel::clearStaleExclusions(proxy, most);
-        record("letBack",
-               {{"proxy", number(proxy)}, {"most", std::to_string(most)}, {"done", std::to_string(done)}});
+    bool clearStaleExclusions(ProxyId proxy, std::size_t maxEndpoints) override {
+        const bool done = ProxyModel::clearStaleExclusions(proxy, maxEndpoints);
+        record("letBack", {{"proxy", number(proxy)},
+                           {"most", std::to_string(maxEndpoints)},
+                           {"done", std::to_string(done)}});
         return done;
     }
     /// Counts the event by name as coverage. It is not recorded, because a log event is not a routing update.
@@ -81,17 +82,17 @@
         ++day.coverage["event: " + std::string(eventName(event))];
     }
     std::optional<double> pendingLines() const override {
-        if (!channelIsCounted) return {};
+        if (!measuresQueue) return {};
         double waiting = 0;
         for (const Message& message : queue) waiting += message.lines;
         return waiting;
     }
     bool needsBarrier() const override {
-        constexpr Micros kEvery = 1850ms;
-        constexpr Micros kFor = 50ms;
-        return channelIsCounted && now % kEvery < kFor;
+        constexpr Micros kBarrierInterval = 1850ms;
+        constexpr Micros kBarrierDuration = 50ms;
+        return measuresQueue && now % kBarrierInterval < kBarrierDuration;
     }
-    bool supportsReassignment(ProxyId) const override { return channelIsCounted; }
+    bool supportsReassignment(ProxyId) const override { return measuresQueue; }
 
 private:
     static std::string number(const auto& id) { return std::to_string(id.value); }
@@ -113,7 +114,7 @@
 class DecisionsDay {
 public:
     explicit DecisionsDay(std::uint64_t seed)
-        : seconds_(seed % kLongDayEvery == 0 ? kSecondsOfLongDay : kSeconds), numbers_(seed) {
+        : seconds_(seed % kLongDaySeedInterval == 0 ? kLongDaySeconds : kDaySeconds), numbers_(seed) {
         chooseSettings(seed);
         addEndpoints();
         model_.start(seed);
@@ -122,11 +123,11 @@
     }
     RecordedDay play() {
         for (int second = 0; second < seconds_; ++second) {
-            if (second == changesAt_) changeCondition(second);
-            if (numbers_.chance(0.5)) happen();
-            passPart();
+            if (second == conditionChangesAt_) changeCondition(second);
+            if (numbers_.chance(0.5)) performRandomStep();
+            advanceRandomTime();
             if (numbers_.chance(0.9)) report();
-            passPart();
+            advanceRandomTime();
             if (numbers_.chance(0.85)) completeProbes();
         }
         return std::move(model_.day);
@@ -135,7 +136,7 @@
 private:
     void chooseSettings(std::uint64_t seed) {
         model_.checksRules = false;
-        model_.channelIsCounted = seed % 2 == 1;
+        model_.measuresQueue = seed % 2 == 1;
         model_.forgetsEndpoints = numbers_.chance(0.5);
         model_.sendsExclusionsOnce = numbers_.chance(0.5);
         model_.fleet.zoneCount = static_cast<std::uint8_t>(numbers_.between(1, 3));
@@ -152,7 +153,7 @@
         for (RequestClassConfig& requestClass : model_.requestClasses)
             requestClass.zoneLocal = numbers_.chance(0.25);
         model_.fullTables = countFullTables();
-        busyZone_ = numbers_.chance(0.4);
+        hasBusyZone_ = numbers_.chance(0.4);
     }
     /// The number of the planner's full tables. For each zone it has one table for all zone-local request
     /// classes and one for all others, if there are such classes.
@@ -176,16 +177,16 @@
     Micros anyMicros(Micros end) {
         return Micros(static_cast<std::int64_t>(numbers_.below(static_cast<std::uint64_t>(end.count()))));
     }
-    double rateOf(std::uint16_t proxy) const { return busyZone_ && zoneOf(proxy) == 0 ? 90 : 8 + proxy; }
+    double rateOf(std::uint16_t proxy) const { return hasBusyZone_ && zoneOf(proxy) == 0 ? 90 : 8 + proxy; }
     /// Joins a proxy that holds a few endpoints or almost all of them, as from the full table of an earlier
     /// planner.
     void join(std::uint16_t proxy) {
         const bool hasFullTable = numbers_.chance(0.3);
-        std::set<EndpointId> holds;
-        for (const auto& [id, one] : model_.listed)
-            if (one.entry.state != EndpointState::Removed && numbers_.chance(hasFullTable ? 0.95 : 0.2))
-                holds.insert(id);
-        model_.join(proxy, zoneOf(proxy), rateOf(proxy), std::move(holds));
+        std::set<EndpointId> heldEndpoints;
+        for (const auto& [id, endpoint] : model_.listed)
+            if (endpoint.entry.state != EndpointState::Removed && numbers_.chance(hasFullTable ? 0.95 : 0.2))
+                heldEndpoints.insert(id);
+        model_.join(proxy, zoneOf(proxy), rateOf(proxy), std::move(heldEndpoints));
     }
     EndpointId anyEndpoint() {
         return std::next(model_.listed.begin(),
@@ -193,7 +194,7 @@
             ->first;
     }
 
-    void happen() {
+    void performRandomStep() {
         switch (numbers_.below(14)) {
         case 0:
         case 1: model_.updateEndpoint(anyEndpoint().value, EndpointState::Draining); break;
@@ -241,10 +242,10 @@
         const auto update = numbers_.oneOf({EndpointListUpdate::Cached, EndpointListUpdate::Snapshot,
                                             EndpointListUpdate::Snapshot, EndpointListUpdate::PollFailed});
         std::vector<EndpointUpdate> entries;
-        for (auto& [id, one] : model_.listed) {
-            const bool named = one.entry.state != EndpointState::Removed && !numbers_.chance(0.03);
-            if (!named) one.entry.state = EndpointState::Removed;
-            if (named && update != EndpointListUpdate::PollFailed) entries.push_back(one.entry);
+        for (auto& [id, endpoint] : model_.listed) {
+            const bool isListed = endpoint.entry.state != EndpointState::Removed && !numbers_.chance(0.03);
+            if (!isListed) endpoint.entry.state = EndpointState::Removed;
+            if (isListed && update != EndpointListUpdate::PollFailed) entries.push_back(endpoint.entry);
         }
         model_.batch([&] { model_.planner->updateEndpoints(update, entries); });
     }
@@ -256,7 +257,7 @@
                             Condition::AllAreSlow, Condition::AllAreSlow, Condition::MostFail});
         affected_.clear();
         for (auto count = numbers_.between(1, 4); count > 0; --count) affected_.insert(anyEndpoint());
-        changesAt_ = second + static_cast<int>(numbers_.between(3, 9));
+        conditionChangesAt_ = second + static_cast<int>(numbers_.between(3, 9));
     }
     bool isAffected(EndpointId endpoint) const {
         const bool all = condition_ == Condition::AllAreSlow || condition_ == Condition::MostFail;
@@ -280,8 +281,8 @@
         const double lines = static_cast<double>(model_.listed.size()) * model_.fleet.zoneCount;
         const auto attempts = static_cast<std::uint32_t>(rate * (0.7 + numbers_.fraction()) / lines) + 3;
         model_.batch([&] {
-            for (const auto& [id, one] : model_.listed)
-                if (one.entry.state == EndpointState::Ready && !model_.excluded.contains(id))
+            for (const auto& [id, endpoint] : model_.listed)
+                if (endpoint.entry.state == EndpointState::Ready && !model_.excluded.contains(id))
                     reportEndpoint(id, attempts);
             for (const auto& [id, proxy] : model_.proxies) reportProxyDemand(id);
         });
@@ -301,8 +302,10 @@
     }
     void reportProxyDemand(ProxyId proxy) {
         for (std::uint16_t requestClass = 0; requestClass < model_.requestClasses.size(); ++requestClass) {
-            const double each = rateOf(proxy.value) / static_cast<double>(model_.requestClasses.size());
-            const auto requests = static_cast<std::uint32_t>(each * (0.8 + 0.4 * numbers_.fraction()));
+            const double ratePerClass =
+                rateOf(proxy.value) / static_cast<double>(model_.requestClasses.size());
+            const auto requests =
+                static_cast<std::uint32_t>(ratePerClass * (0.8 + 0.4 * numbers_.fraction()));
             model_.planner->reportDemand({proxy, {requestClass}, requests, requests / 10, 1s});
         }
     }
@@ -323,16 +326,16 @@
         if (numbers_.chance(0.3)) result.load.inFlight = 40 * numbers_.fraction();
         return result;
     }
-    void passPart() { model_.advance(50ms * static_cast<std::int64_t>(numbers_.between(4, 16))); }
+    void advanceRandomTime() { model_.advance(50ms * static_cast<std::int64_t>(numbers_.between(4, 16))); }
 
     const int seconds_;
     SeededNumbers numbers_;
     RecordingModel model_;
     Condition condition_ = Condition::Healthy;
     std::set<EndpointId> affected_;
-    int changesAt_ = 3;
-    bool busyZone_ = false; // proxies of zone 0 have most of the traffic, more than its endpoints can serve
-    std::uint64_t nextEndpoint_ = kListedLater;
+    int conditionChangesAt_ = 3;
+    bool hasBusyZone_ = false; // zone 0 has most of the traffic, more than its endpoints can serve
+    std::uint64_t nextEndpoint_ = kFirstLateEndpointId;
 };
 
 } // namespace
--- a/tests/digest_pubsub.cpp
+++ b/tests/digest_pubsub.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr int kSteps = 40;
+constexpr int kStepCount = 40;
 constexpr std::size_t kLengthBytes = 4;
-constexpr std::size_t kFlagsAt = 8;
+constexpr std::size_t kFlagsOffset = 8;
 constexpr unsigned char kCompressedFlag = 1;
 
 std::uint32_t bigEndianAt(std::string_view bytes, std::size_t offset) {
@@ -21,12 +21,14 @@
     return value;
 }
 
-std::string unpacked(std::string_view body) {
+std::string decompressed(std::string_view body) {
     const auto size = ZSTD_getFrameContentSize(body.data(), body.size());
-    if (ZSTD_isError(size)) throw std::runtime_error("a compressed body has no size");
+    if (ZSTD_isError(size))
+        throw std::runtime_error("compressed frame body: no content size in the zstd header");
     std::string out(size, '\0');
-    const auto got = ZSTD_decompress(out.data(), out.size(), body.data(), body.size());
-    if (ZSTD_isError(got) || got != out.size()) throw std::runtime_error("a body can't be unpacked");
+    const auto decompressedSize = ZSTD_decompress(out.data(), out.size(), body.data(), body.size());
+    if (ZSTD_isError(decompressedSize) || decompressedSize != out.size())
+        throw std::runtime_error("compressed frame body: zstd did not decompress it to its stated size");
     return out;
 }
 
@@ -35,8 +37,8 @@
 std::string comparableFrame(std::string_view frame) {
     const std::string_view header = frame.substr(kLengthBytes, pubsub::kHeaderBytes - kLengthBytes);
     const std::string_view body = frame.substr(pubsub::kHeaderBytes);
-    const bool isCompressed = static_cast<unsigned char>(frame[kFlagsAt]) & kCompressedFlag;
-    return hexText(header) + ":" + hexText(isCompressed ? unpacked(body) : std::string(body));
+    const bool isCompressed = static_cast<unsigned char>(frame[kFlagsOffset]) & kCompressedFlag;
+    return hexText(header) + ":" + hexText(isCompressed ? decompressed(body) : std::string(body));
 }
 
 /// Plays one day: random changes of tables, sessions and reading speed on a PubsubHarness.
@@ -57,7 +59,7 @@
             for (int endpoint = 0; endpoint < endpointCount_; ++endpoint) setWeight(endpoint);
         });
         for (auto count = numbers_.between(4, 16); count > 0; --count) addClient();
-        for (int step = 0; step < kSteps; ++step) performRandomStep();
+        for (int step = 0; step < kStepCount; ++step) performRandomStep();
         for (auto& client : harness_.clients) client->isStalled = false;
         harness_.runUntilQuiet();
         return std::move(day_);
@@ -65,18 +67,18 @@
 
 private:
     void record(std::size_t connection, PubsubHarness::Direction direction, std::string_view bytes) {
-        const bool isTo = direction == PubsubHarness::Direction::ToSubscriber;
+        const bool isToSubscriber = direction == PubsubHarness::Direction::ToSubscriber;
         while (bytes.size() >= pubsub::kHeaderBytes) {
             const std::size_t size = kLengthBytes + bigEndianAt(bytes, 0);
             if (size < pubsub::kHeaderBytes || size > bytes.size()) break;
-            recordFrame(connection, isTo, comparableFrame(bytes.substr(0, size)));
+            recordFrame(connection, isToSubscriber, comparableFrame(bytes.substr(0, size)));
             bytes.remove_prefix(size);
         }
-        if (!bytes.empty()) recordFrame(connection, isTo, hexText(bytes)); // an incomplete frame
+        if (!bytes.empty()) recordFrame(connection, isToSubscriber, hexText(bytes)); // an incomplete frame
     }
-    void recordFrame(std::size_t connection, bool isTo, const std::string& text) {
-        ++day_.coverage[isTo ? "frames to subscribers" : "frames from subscribers"];
-        day_.events.push_back(eventText(harness_.now, isTo ? "to" : "from",
+    void recordFrame(std::size_t connection, bool isToSubscriber, const std::string& text) {
+        ++day_.coverage[isToSubscriber ? "frames to subscribers" : "frames from subscribers"];
+        day_.events.push_back(eventText(harness_.now, isToSubscriber ? "to" : "from",
                                         {{"stream", std::to_string(connection)}, {"bytes", text}}));
     }
     /// Adds a client, which is an observer with a probability of 1 in 4.
@@ -120,7 +122,7 @@
         case 9: reportDemand(); break;
         case 10: requestSnapshot(); break;
         case 11: readSlowly(); break;
-        case 12: passSeconds(); break;
+        case 12: runSeconds(); break;
         case 13: harness_.runUntilQuiet(); break;
         case 14: suspendAndResume(); break;
         default:
@@ -130,13 +132,13 @@
         if (numbers_.chance(0.5)) harness_.runOneSecond();
     }
     void changeWeights(std::uint64_t count) {
-        ++day_.coverage["batches of changed lines"];
+        ++day_.coverage["batches of changed weights"];
         harness_.runBatch([&] {
             for (std::uint64_t k = 0; k < count; ++k) setWeight(anyEndpoint());
         });
     }
     void changeExclusions() {
-        ++day_.coverage["withdrawals changed"];
+        ++day_.coverage["exclusions changed"];
         harness_.runBatch([&] {
             for (auto count = numbers_.between(1, 3); count > 0; --count) {
                 const int endpoint = anyEndpoint();
@@ -162,21 +164,21 @@
             client.subscription.encodeDemand("order", static_cast<std::uint32_t>(numbers_.below(50)), 2, 1s));
     }
     void requestSnapshot() {
-        pubsub::Frame ask{pubsub::FrameType::Ask};
-        ask.topic = pubsub::topicOf(PubsubHarness::tableOf(numbers_.below(PubsubHarness::kZones)));
-        ask.epoch = harness_.server->epoch();
-        anyClient().send(pubsub::encodeFrame(ask, false));
+        pubsub::Frame request{pubsub::FrameType::Ask};
+        request.topic = pubsub::topicOf(PubsubHarness::tableOf(numbers_.below(PubsubHarness::kZones)));
+        request.epoch = harness_.server->epoch();
+        anyClient().send(pubsub::encodeFrame(request, false));
     }
     void readSlowly() {
         for (auto& client : harness_.clients)
             if (numbers_.chance(0.5)) client->receive(numbers_.between(1, 900));
     }
-    void passSeconds() {
+    void runSeconds() {
         const bool isReading = numbers_.chance(0.7);
         for (auto count = numbers_.between(1, 4); count > 0; --count) harness_.runOneSecond(isReading);
     }
     void suspendAndResume() {
-        ++day_.coverage["switched off"];
+        ++day_.coverage["channel suspended"];
         harness_.server->suspend();
         harness_.runOneSecond();
         harness_.server->resume();
--- a/tests/digest_reference.cpp
+++ b/tests/digest_reference.cpp
@@ -34,14 +34,14 @@
 
 /// The index of the first event whose checkpoint differs. If one list is a prefix of the other, the length of
 /// the shorter list.
-std::size_t firstDifference(const std::string& stored, const std::string& now) {
-    const auto unequal = std::ranges::mismatch(stored, now).in1;
+std::size_t firstDifference(const std::string& stored, const std::string& played) {
+    const auto unequal = std::ranges::mismatch(stored, played).in1;
     return static_cast<std::size_t>(unequal - stored.begin()) / kCheckpointDigits;
 }
 
 std::ofstream openForWriting(const std::string& path) {
     std::ofstream file(path);
-    if (!file) throw std::runtime_error("can't write " + path);
+    if (!file) throw std::runtime_error("cannot open " + path + " for writing");
     return file;
 }
 
@@ -69,19 +69,20 @@
     for (std::string text; checkpoints >> seed >> text;) stored_[seed].checkpoints = text;
 }
 
-std::string DigestReference::where(std::uint64_t seed) const {
+std::string DigestReference::dayText(std::uint64_t seed) const {
     return std::string(kind_.name) + " seed " + std::to_string(seed);
 }
 
 std::optional<std::string> DigestReference::difference(std::uint64_t seed, const RecordedDay& played) const {
     const auto found = stored_.find(seed);
-    if (found == stored_.end()) return where(seed) + ": no checksum is stored in tests/digests";
+    if (found == stored_.end()) return dayText(seed) + ": no checksum is stored in tests/digests";
     const DayDigest& stored = found->second;
     const DayDigest now = digestOf(played);
     if (stored.checksum == now.checksum && stored.events == now.events) return {};
-    const std::string counts = where(seed) + ": " + std::to_string(stored.events) + " events with checksum " +
-                               checksumText(stored.checksum) + " are stored, " + std::to_string(now.events) +
-                               " with checksum " + checksumText(now.checksum) + " were played";
+    const std::string counts = dayText(seed) + ": " + std::to_string(stored.events) +
+                               " events with checksum " + checksumText(stored.checksum) + " are stored, " +
+                               std::to_string(now.events) + " with checksum " + checksumText(now.checksum) +
+                               " were played";
     if (stored.checkpoints.empty())
         return counts + "; compare `zincstack_digests print` of two builds to see the first event";
     const std::size_t first = firstDifference(stored.checkpoints, now.checkpoints);
--- a/tests/digest_reference.h
+++ b/tests/digest_reference.h
@@ -33,7 +33,7 @@
     std::optional<std::string> difference(std::uint64_t seed, const RecordedDay& played) const;
 
 private:
-    std::string where(std::uint64_t seed) const;
+    std::string dayText(std::uint64_t seed) const;
 
     const DayKind& kind_;
     std::map<std::uint64_t, DayDigest> stored_; // by seed
--- a/tests/digest_simwire.cpp
+++ b/tests/digest_simwire.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr int kBatches = 40;
-constexpr std::uint16_t kProxies = 10;
-constexpr std::uint8_t kZones = 2;
+constexpr int kBatchCount = 40;
+constexpr std::uint16_t kProxyCount = 10;
+constexpr std::uint8_t kZoneCount = 2;
 constexpr std::size_t kReplyLengthBytes = 4;
 constexpr std::uint8_t kUnknownEvents[] = {0, 16, 77, 255};
 
@@ -51,7 +51,7 @@
     return value;
 }
 
-std::string startText(SeededNumbers& numbers) {
+std::string settingsText(SeededNumbers& numbers) {
     std::string text = "Balancers=2\nClasses.count=3\nContract.ColdS=16.0\nContract.DrainGraceS=2.0\n"
                        "Contract.FallMultiple=4.0\nContract.OverloadForS=3.0\nContract.StartCapacity=0.2\n"
                        "Extra.BlackholeS=3.0\nExtra.DataPlaneSize=10\nExtra.EgressPerS=7000.0\n"
@@ -77,17 +77,17 @@
 /// Plays one day: batches of random events, some of them unknown, to one to three planner instances.
 class SimwireDay {
 public:
-    explicit SimwireDay(std::uint64_t seed) : numbers_(seed), endpoints_(numbers_.between(4, 16)) {
-        endpointStates_.assign(endpoints_, std::uint8_t{1});
+    explicit SimwireDay(std::uint64_t seed) : numbers_(seed), endpointCount_(numbers_.between(4, 16)) {
+        endpointStates_.assign(endpointCount_, std::uint8_t{1});
     }
     RecordedDay play() {
         for (std::uint32_t instance = 1; instance <= numbers_.between(1, 3); ++instance)
             openInstance(instance);
         playBatch();
-        for (int batch = 0; batch < kBatches; ++batch) {
+        for (int batch = 0; batch < kBatchCount; ++batch) {
             answerActions();
-            if (numbers_.chance(0.6)) reportPeriod();
-            if (numbers_.chance(0.6)) happen();
+            if (numbers_.chance(0.6)) sendReports();
+            if (numbers_.chance(0.6)) performRandomStep();
             playBatch();
         }
         return std::move(day_);
@@ -97,14 +97,14 @@
     void put(Event event, const Bytes& fields) { putCode(static_cast<std::uint8_t>(event), fields); }
     void putCode(std::uint8_t code, const Bytes& fields) {
         body_.record(code, fields);
-        ++records_;
+        ++recordCount_;
         ++day_.coverage["event code " + std::to_string(code)];
     }
     void playBatch() {
-        const simwire::BatchHeader header{records_, static_cast<std::uint32_t>(body_.all.size()), now_};
+        const simwire::BatchHeader header{recordCount_, static_cast<std::uint32_t>(body_.all.size()), now_};
         recordReply(host_.play(header, body_.all));
         body_ = {};
-        records_ = 0;
+        recordCount_ = 0;
         now_ += Micros(static_cast<std::int64_t>(numbers_.between(20, 900)) * 1000);
     }
     void recordReply(std::span<const std::byte> reply) {
@@ -156,76 +156,76 @@
     }
 
     void openInstance(std::uint32_t instance) {
-        const std::string text = startText(numbers_);
+        const std::string text = settingsText(numbers_);
         const std::uint64_t seed = numbers_.below(1000);
         put(Event::OpenInstance,
             {instance, seed, static_cast<std::uint32_t>(text.size()), std::string_view(text)});
         joined_[instance] = {};
-        tellEndpointList(instance, 0);
-        for (std::uint16_t proxy = 0; proxy < kProxies; ++proxy)
+        sendEndpointList(instance, 0);
+        for (std::uint16_t proxy = 0; proxy < kProxyCount; ++proxy)
             if (numbers_.chance(0.7)) joinProxy(instance, proxy);
     }
     void joinProxy(std::uint32_t instance, std::uint16_t proxy) {
-        const auto zone = static_cast<std::uint8_t>(proxy % kZones);
+        const auto zone = static_cast<std::uint8_t>(proxy % kZoneCount);
         const auto rate = static_cast<float>(5 + 20 * numbers_.fraction());
         put(Event::ProxyJoined,
             {instance, proxy, zone, rate, static_cast<std::uint8_t>(numbers_.chance(0.6))});
         joined_[instance].insert(proxy);
     }
-    static WireEndpoint endpoint(std::size_t number) {
-        return {0x0a000001U + static_cast<std::uint32_t>(number), std::uint16_t{80}};
+    static WireEndpoint endpoint(std::size_t index) {
+        return {0x0a000001U + static_cast<std::uint32_t>(index), std::uint16_t{80}};
     }
     /// Sends the current endpoint list, and then an update to the instance that refers to it. The form says
     /// what the list is (0: cached, 2: changes, 3: complete).
-    void tellEndpointList(std::uint32_t instance, std::uint8_t form) {
+    void sendEndpointList(std::uint32_t instance, std::uint8_t form) {
         const auto table = static_cast<std::uint16_t>(numbers_.below(16));
-        Bytes fields(table, static_cast<std::uint32_t>(endpoints_));
-        for (std::size_t number = 0; number < endpoints_; ++number) putEntry(fields, number);
+        Bytes fields(table, static_cast<std::uint32_t>(endpointCount_));
+        for (std::size_t index = 0; index < endpointCount_; ++index) putEntry(fields, index);
         put(Event::EndpointList, fields);
         put(Event::EndpointUpdate, {instance, form, std::uint64_t{1}, table});
     }
-    void putEntry(Bytes& fields, std::size_t number) {
-        const auto [address, port] = endpoint(number);
-        const double readyAt = readyAt_.contains(number) ? readyAt_.at(number) : 0;
-        const auto weight = static_cast<float>(1 + number % 3);
+    void putEntry(Bytes& fields, std::size_t index) {
+        const auto [address, port] = endpoint(index);
+        const double readyAt = readyAt_.contains(index) ? readyAt_.at(index) : 0;
+        const auto weight = static_cast<float>(1 + index % 3);
         const std::uint16_t pod = 0;
         const std::uint16_t generation = 0;
-        const auto zone = static_cast<std::uint8_t>(number % kZones);
-        fields.put(Bytes(address, port, endpointStates_[number], readyAt, weight, pod, generation, zone));
+        const auto zone = static_cast<std::uint8_t>(index % kZoneCount);
+        fields.put(Bytes(address, port, endpointStates_[index], readyAt, weight, pod, generation, zone));
     }
 
     std::uint32_t anyInstance() {
         return std::next(joined_.begin(), static_cast<std::ptrdiff_t>(numbers_.below(joined_.size())))->first;
     }
-    void happen() {
+    void performRandomStep() {
         const std::uint32_t instance = anyInstance();
         switch (numbers_.below(8)) {
         case 0:
         case 1: changeEndpoint(instance); break;
         case 2: leave(instance); break;
-        case 3: joinProxy(instance, static_cast<std::uint16_t>(numbers_.below(kProxies))); break;
+        case 3: joinProxy(instance, static_cast<std::uint16_t>(numbers_.below(kProxyCount))); break;
         case 4: putUnusedEvents(instance); break;
         case 5: putUnknownEvent(); break;
         case 6:
             put(Event::EndpointUpdate, {instance, std::uint8_t{1}, std::uint64_t{1}, std::uint16_t{0}});
             break; // the poll has failed
         default:
-            if (numbers_.chance(0.4)) haltAndOpen(instance);
+            if (numbers_.chance(0.4)) reopenInstance(instance);
         }
     }
     void changeEndpoint(std::uint32_t instance) {
-        const auto number = numbers_.below(endpoints_);
-        endpointStates_[number] = static_cast<std::uint8_t>(numbers_.below(3));
-        const bool isReady = endpointStates_[number] == static_cast<std::uint8_t>(EndpointState::Ready);
-        if (isReady) readyAt_[number] = static_cast<double>(now_.count()) / 1e6;
-        tellEndpointList(instance, numbers_.oneOf<std::uint8_t>({2, 2, 3})); // changes, or the whole list
+        const auto index = numbers_.below(endpointCount_);
+        endpointStates_[index] = static_cast<std::uint8_t>(numbers_.below(3));
+        const bool isReady = endpointStates_[index] == static_cast<std::uint8_t>(EndpointState::Ready);
+        if (isReady) readyAt_[index] = static_cast<double>(now_.count()) / 1e6;
+        sendEndpointList(instance, numbers_.oneOf<std::uint8_t>({2, 2, 3})); // changes, or the complete list
     }
     void leave(std::uint32_t instance) {
-        const auto proxy = static_cast<std::uint16_t>(numbers_.below(kProxies));
+        const auto proxy = static_cast<std::uint16_t>(numbers_.below(kProxyCount));
         put(Event::ProxyLeft, {instance, proxy});
         joined_[instance].erase(proxy);
     }
-    void haltAndOpen(std::uint32_t instance) {
+    void reopenInstance(std::uint32_t instance) {
         put(Event::CloseInstance, {instance});
         openInstance(instance);
     }
@@ -242,23 +242,23 @@
         putCode(kUnknownEvents[numbers_.below(std::size(kUnknownEvents))], {numbers_.fraction()});
     }
 
-    void reportPeriod() {
-        if (numbers_.chance(0.2)) failing_ = numbers_.below(endpoints_);
+    void sendReports() {
+        if (numbers_.chance(0.2)) failingEndpoint_ = numbers_.below(endpointCount_);
         if (numbers_.chance(0.2)) allAreSlow_ = !allAreSlow_;
         for (const auto& [instance, proxies] : joined_) {
-            for (std::size_t number = 0; number < endpoints_; ++number)
-                if (endpointStates_[number] == static_cast<std::uint8_t>(EndpointState::Ready))
-                    putLoadReport(instance, number);
+            for (std::size_t index = 0; index < endpointCount_; ++index)
+                if (endpointStates_[index] == static_cast<std::uint8_t>(EndpointState::Ready))
+                    putLoadReport(instance, index);
             for (const auto proxy : proxies) putDemandReport(instance, proxy);
         }
     }
-    void putLoadReport(std::uint32_t instance, std::size_t number) {
-        const auto [address, port] = endpoint(number);
+    void putLoadReport(std::uint32_t instance, std::size_t index) {
+        const auto [address, port] = endpoint(index);
         const std::uint32_t attempts = 20;
         const std::uint32_t failures =
-            number == failing_ ? 17 : static_cast<std::uint32_t>(numbers_.below(2));
+            index == failingEndpoint_ ? 17 : static_cast<std::uint32_t>(numbers_.below(2));
         const double latency = (allAreSlow_ ? 1.5 : 0.2) + 0.1 * numbers_.fraction();
-        const auto zone = static_cast<std::uint8_t>(numbers_.below(kZones));
+        const auto zone = static_cast<std::uint8_t>(numbers_.below(kZoneCount));
         Bytes fields(instance, zone, address, port, attempts, failures, latency, 1.0);
         putReportColumns(fields);
         put(Event::LoadReport, fields);
@@ -274,13 +274,13 @@
     simwire::Host host_{[](std::string_view) {}};
     Micros now_{100'000'000};
     Bytes body_;
-    std::uint32_t records_ = 0;
+    std::uint32_t recordCount_ = 0;
     std::vector<std::pair<Action, std::vector<std::byte>>> actions_;
     std::map<std::uint32_t, std::set<std::uint16_t>> joined_; // the joined proxies by instance
-    std::size_t endpoints_;
+    std::size_t endpointCount_;
     std::vector<std::uint8_t> endpointStates_;
     std::map<std::size_t, double> readyAt_;
-    std::size_t failing_ = 0;
+    std::size_t failingEndpoint_ = 0;
     bool allAreSlow_ = false;
 };
 
--- a/tests/digest_tool.cpp
+++ b/tests/digest_tool.cpp
@@ -12,21 +12,22 @@
 namespace zincstack::tests {
 namespace {
 
-constexpr int kSame = 0;
-constexpr int kDifferent = 1;
-constexpr int kWrongUse = 2;
+constexpr int kExitSame = 0;
+constexpr int kExitDifferent = 1;
+constexpr int kExitUsageError = 2;
 
-constexpr std::string_view kUse = "zincstack_digests check            compare all days with tests/digests\n"
-                                  "zincstack_digests write            write tests/digests anew\n"
-                                  "zincstack_digests print KIND SEED  print the events of one day\n";
+constexpr std::string_view kUsage =
+    "zincstack_digests check            compare all days with the checksums in tests/digests\n"
+    "zincstack_digests write            replace the checksums in tests/digests\n"
+    "zincstack_digests print KIND SEED  print the numbered events of one day\n";
 
 double secondsSince(std::chrono::steady_clock::time_point start) {
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
-/// Plays all days of a kind and calls `take` with each. Prints the numbers of days and events, the time
+/// Plays all days of a kind and calls `handleDay` with each. Prints the numbers of days and events, the time
 /// taken, and the coverage.
-void playAll(const DayKind& kind, const auto& take) {
+void playAll(const DayKind& kind, const auto& handleDay) {
     const auto start = std::chrono::steady_clock::now();
     std::size_t events = 0;
     std::map<std::string, std::size_t> coverage;
@@ -34,7 +35,7 @@
         const RecordedDay day = kind.play(seed);
         events += day.events.size();
         for (const auto& [what, count] : day.coverage) coverage[what] += count;
-        take(seed, day);
+        handleDay(seed, day);
     }
     std::cout << kind.name << ": " << kind.seeds << " days, " << events << " events, " << secondsSince(start)
               << " s\n";
@@ -42,7 +43,7 @@
 }
 
 int check() {
-    int result = kSame;
+    int result = kExitSame;
     for (const DayKind& kind : dayKinds()) {
         const DigestReference reference(kind);
         std::size_t differing = 0;
@@ -53,7 +54,7 @@
             std::cout << "DIFFERENT " << *difference << '\n';
         });
         std::cout << kind.name << ": " << differing << " of " << kind.seeds << " days differ\n";
-        if (differing > 0) result = kDifferent;
+        if (differing > 0) result = kExitDifferent;
     }
     return result;
 }
@@ -64,7 +65,7 @@
         playAll(kind, [&](std::uint64_t seed, const RecordedDay& day) { digests[seed] = digestOf(day); });
         writeDigestReference(kind, digests);
     }
-    return kSame;
+    return kExitSame;
 }
 
 int print(std::string_view kindName, std::string_view seedText) {
@@ -72,20 +73,20 @@
     std::uint64_t seed = 0;
     const auto [end, error] = std::from_chars(seedText.data(), seedText.data() + seedText.size(), seed);
     if (!kind || error != std::errc{} || end != seedText.data() + seedText.size()) {
-        std::cerr << kUse;
-        return kWrongUse;
+        std::cerr << kUsage;
+        return kExitUsageError;
     }
     std::size_t number = 0;
     for (const std::string& event : kind->play(seed).events) std::cout << number++ << ' ' << event << '\n';
-    return kSame;
+    return kExitSame;
 }
 
 int run(std::span<const std::string_view> arguments) {
     if (arguments.size() == 1 && arguments[0] == "check") return check();
     if (arguments.size() == 1 && arguments[0] == "write") return write();
     if (arguments.size() == 3 && arguments[0] == "print") return print(arguments[1], arguments[2]);
-    std::cerr << kUse;
-    return kWrongUse;
+    std::cerr << kUsage;
+    return kExitUsageError;
 }
 
 } // namespace
@@ -98,6 +99,6 @@
         return zincstack::tests::run(arguments);
     } catch (const std::exception& error) {
         std::cerr << error.what() << '\n';
-        return zincstack::tests::kWrongUse;
+        return zincstack::tests::kExitUsageError;
     }
 }
