--- a/tests/digest_days.h
+++ b/tests/digest_days.h
@@ -60,6 +60,7 @@
 /// Null if no kind has this name.
 const DayKind* findDayKind(std::string_view name);
 
+/// Each of these plays a day of one kind.
 RecordedDay playDecisionsDay(std::uint64_t seed);
 RecordedDay playPushDay(std::uint64_t seed);
 RecordedDay playPubsubDay(std::uint64_t seed);
@@ -67,6 +68,7 @@
 
 /// The exact value as a hexadecimal floating-point number.
 std::string exactText(double value);
+/// The bytes as pairs of hexadecimal digits.
 std::string hexText(std::string_view bytes);
 /// Printable bytes other than the backslash unchanged, and all other bytes as \xNN.
 std::string escapedText(std::string_view bytes);
--- a/tests/digest_reference.h
+++ b/tests/digest_reference.h
@@ -42,6 +42,7 @@
 /// Replaces the stored digests of a kind of day. `digests` is keyed by seed.
 void writeDigestReference(const DayKind& kind, const std::map<std::uint64_t, DayDigest>& digests);
 
+/// Computes the digest of a played day.
 DayDigest digestOf(const RecordedDay& day);
 
 } // namespace zincstack::tests
--- a/tests/digest_simwire.cpp
+++ b/tests/digest_simwire.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint16_t kProxyCount = 10;
 constexpr std::uint8_t kZoneCount = 2;
 constexpr std::size_t kReplyLengthBytes = 4;
-constexpr std::uint8_t kUnknownEvents[] = {0, 16, 77, 255};
+constexpr std::uint8_t kUnknownEventCodes[] = {0, 16, 77, 255};
 
 /// Event codes of the simulator's protocol.
 enum class Event : std::uint8_t {
@@ -149,7 +149,7 @@
         put(Event::ProbeCompleted, fields);
     }
     void putReportColumns(Bytes& fields) {
-        const auto columns = static_cast<std::uint8_t>(numbers_.below(5)); // at most one too many
+        const auto columns = static_cast<std::uint8_t>(numbers_.below(5)); // 3 are configured
         fields.put(columns);
         for (std::uint8_t column = 0; column < columns; ++column)
             fields.put(static_cast<float>(10 * numbers_.fraction()));
@@ -239,7 +239,7 @@
         put(Event::PeerMessage, {instance, 2U, std::uint16_t{5}, std::string_view("hello")});
     }
     void putUnknownEvent() {
-        putCode(kUnknownEvents[numbers_.below(std::size(kUnknownEvents))], {numbers_.fraction()});
+        putCode(kUnknownEventCodes[numbers_.below(std::size(kUnknownEventCodes))], {numbers_.fraction()});
     }
 
     void sendReports() {
@@ -265,7 +265,7 @@
     }
     void putDemandReport(std::uint32_t instance, std::uint16_t proxy) {
         const auto requests = static_cast<std::uint32_t>(numbers_.below(20));
-        const auto requestClass = static_cast<std::uint16_t>(numbers_.below(4)); // the last is unknown
+        const auto requestClass = static_cast<std::uint16_t>(numbers_.below(4)); // there are 3
         put(Event::DemandReport, {instance, requests, proxy, requestClass, 1.0, 1U});
     }
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -117,6 +117,8 @@
     }
 }
 
+/// The channel has a fifth of the configured rate, and the checked deadlines are five times the configured
+/// ones.
 TEST(FleetTest, RulesHoldWhenTheChannelIsSlowerThanConfigured) {
     SimulatedFleet fleet({.slowdown = 5});
     joinAllProxiesToANewPlanner(fleet);
@@ -200,7 +202,8 @@
     EXPECT_TRUE(fleet.violations().empty()) << violationsText(fleet);
 }
 
-/// The number of lines in the queue stays within its limit even if the channel transmits almost nothing.
+/// Even if the channel transmits almost nothing, the planner does not write more unacknowledged lines than
+/// the queue may hold.
 TEST(FleetTest, QueueLimitHoldsWhenTheChannelIsStuck) {
     SimulatedFleet fleet({.slowdown = 1e6});
     joinAllProxiesToANewPlanner(fleet);
--- a/tests/proxy_model.h
+++ b/tests/proxy_model.h
@@ -67,7 +67,7 @@
         {1s, 3s, 2, .1, Idempotency::IdempotencyKeyed, false, true},
         {1s, 3s, 4, .1, Idempotency::NonIdempotent, false, true}};
     bool forgetsEndpoints = false;    ///< forgetEndpoint() succeeds, as with the socket transport
-    bool sendsExclusionsOnce = false; ///< does not resend a stream's last value, as the socket transport does
+    bool sendsExclusionsOnce = false; ///< does not send a stream the same value twice, as with sockets
     bool checksRules = true;          ///< false saves time in runs that are only recorded
     double slowdown = 1;              ///< factor by which the control channel is slower than `channel` says
 
@@ -106,7 +106,10 @@
     /// Sends an endpoint list update for one endpoint. A negative `startedAt` leaves its start time
     /// unchanged.
     void updateEndpoint(std::uint64_t id, EndpointState state, Micros startedAt = -1us);
+    /// A proxy joins with the endpoints that it holds and its request rate per second. Its earlier session,
+    /// if any, ends first.
     void join(std::uint16_t id, std::uint8_t zone, double rate, std::set<EndpointId> inheritedEndpoints);
+    /// Ends the proxy's session. Messages that it has not received are lost.
     void leave(std::uint16_t id);
     /// Reports one interval: `attempts` at each endpoint that is ready and not excluded, of which the
     /// fraction `failureRatio(id)` fails, and each proxy's demand.
