--- a/tests/fleet_rules.cpp
+++ b/tests/fleet_rules.cpp
@@ -1,3 +1,4 @@
+// Implements the checks of the safety rules of a simulated fleet.
 #include "fleet_rules.h"
 
 #include <algorithm>
@@ -7,14 +8,14 @@
 
 namespace {
 
-constexpr Micros kStartUpTime = 1s;       // no deadline is checked before
-constexpr Micros kDeadlineMargin = 300ms; // deadlines are checked later than the settings say by this
+constexpr Micros kStartUpTime = 1s;       // deadlines start no earlier than this after the start of the run
+constexpr Micros kDeadlineMargin = 300ms; // added to the configured deadlines
 
 std::string millisText(Micros duration) { return std::to_string(duration.count() / 1000) + " ms"; }
 
 std::string proxyText(std::uint16_t id) { return "proxy " + std::to_string(id); }
 
-/// On a slow channel everything takes longer.
+/// The deadline to check: messages take longer on a slow channel, so it grows with the slowdown.
 Micros deadlineOf(Micros configured, double slowdown) {
     return std::chrono::duration_cast<Micros>(slowdown * configured) + kDeadlineMargin;
 }
@@ -50,7 +51,7 @@
     const bool hasWarmEndpoint = std::ranges::any_of(
         endpoints, [&](const SimulatedEndpoint& endpoint) { return isWarm(endpoint, now); });
     for (auto& [id, proxy] : proxies) {
-        if (proxy.isStalled) continue; // sends no requests either
+        if (proxy.isStalled) continue; // a stalled proxy sends no requests
         checkDrains(now, id, proxy, ends);
         checkAvailability(now, id, proxy, hasWarmEndpoint);
     }
@@ -66,9 +67,9 @@
             const EndpointSet late = mayPick & ended;
             if (late.none()) continue;
             recordViolation(FleetRule::DrainDeadline, now,
-                            proxyText(id) + " may send to s-" + std::to_string(late._Find_first()) +
-                                ", announced " + millisText(now - announcedAt) + " ago, joined " +
-                                millisText(now - proxy.joinedAt) + " ago");
+                            proxyText(id) + " may pick s-" + std::to_string(late._Find_first()) +
+                                ", whose end was announced " + millisText(now - announcedAt) +
+                                " ago; the proxy joined " + millisText(now - proxy.joinedAt) + " ago");
         }
     }
 }
@@ -88,7 +89,8 @@
     proxy.writtenAt.push_back(now);
     while (now - proxy.writtenAt.front() > kMessageWindow) proxy.writtenAt.pop_front();
     if (config_.maxMessagesPerProxy > 0 && proxy.writtenAt.size() > config_.maxMessagesPerProxy)
-        recordViolation(FleetRule::MessageRate, now, proxyText(id) + " is written too many messages");
+        recordViolation(FleetRule::MessageRate, now,
+                        proxyText(id) + " was sent too many messages within the window");
 }
 
 void FleetRules::checkQueue(Micros now, double queuedLines) {
--- a/tests/simulated_fleet.cpp
+++ b/tests/simulated_fleet.cpp
@@ -1,3 +1,4 @@
+// Implements the simulation of a fleet of proxies on one planner.
 #include "simulated_fleet.h"
 
 #include <utility>
@@ -27,11 +28,12 @@
     return names;
 }
 
-/// A few proxies have most of the requests.
+/// Requests per second. Skewed: one proxy in 20 has 15 times the rate of the others.
 double requestRateOf(std::uint16_t proxy) { return proxy % 20 == 0 ? 30 : 2; }
 
 } // namespace
 
+/// The stream of one proxy. It passes each write to the fleet.
 class SimulatedFleet::Stream final : public net::PushStream {
 public:
     Stream(SimulatedFleet& owner, std::uint16_t ofProxy) : fleet_(owner), proxy_(ofProxy) {}
@@ -54,7 +56,7 @@
           [](Micros) {}, channelLimitsOf(config)),
       updates_(state_, names_, counters_),
       channel_(config.linesPerSecond / config.slowdown, config.meanTransitTime, config.seed),
-      rules_(config, kStart) {
+      rules_(config, kStartTime) {
     const FleetConfig fleet{.zoneCount = config.zoneCount,
                             .plannerCount = 5,
                             .hasEndpointWeights = true,
@@ -243,7 +245,7 @@
 void SimulatedFleet::acknowledge(std::uint16_t id, BarrierId barrier) {
     if (!updates_.barrierAcknowledged({id}, barrier))
         rules_.recordViolation(FleetRule::BarrierIsKnown, now_,
-                               "a barrier is acknowledged that the planner does not wait for");
+                               "a proxy acknowledged a barrier that the planner does not wait for");
     addInput([&] { planner_->barrierAcknowledged({id}, barrier); });
 }
 
