--- a/src/client/reconnect_backoff.cpp
+++ b/src/client/reconnect_backoff.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-constexpr unsigned kMaxDoublings = 16; // keeps the shift in range; maxDelay bounds the delay before that
-constexpr int kMaxRetryAfterInMaxDelays =
-    12; // a planner's Retry-After is followed up to so many times maxDelay
+/// Keeps the shift in range. `ReconnectConfig::maxDelay` normally caps the delay after fewer doublings.
+constexpr unsigned kMaxDoublings = 16;
+/// Upper limit of the delay that a planner can request, as a multiple of `ReconnectConfig::maxDelay`.
+constexpr int kMaxRetryAfterInMaxDelays = 12;
 
 } // namespace
 
@@ -24,7 +25,7 @@
     ++failures_;
     const unsigned doublings = std::min(rounds, kMaxDoublings);
     const Micros delay = std::min(Micros(config_.initialDelay * (1LL << doublings)), config_.maxDelay);
-    // The standard library's distributions differ between implementations; the engine's own numbers do not.
+    // The output of std::mt19937 is the same on every platform; that of the standard distributions is not.
     const auto halfRange = static_cast<std::uint64_t>(delay.count() / 2 + 1);
     return {address_, delay / 2 + Micros(random_() % halfRange)};
 }
--- a/src/client/reconnect_backoff.h
+++ b/src/client/reconnect_backoff.h
@@ -1,4 +1,4 @@
-// When to reconnect, and to which planner. Decisions only: no I/O, and clock and seed are handed in.
+// Decides when to reconnect and to which planner. No I/O; the caller passes the durations and the seed.
 #pragma once
 
 #include <cstddef>
@@ -10,30 +10,36 @@
 
 namespace zincstack::client {
 
+/// The delays between connection attempts.
 struct ReconnectConfig {
-    Micros initialDelay =
-        std::chrono::milliseconds(50); ///< after the first failure; doubles with each further one
+    /// Used until every planner has failed once; doubles each time that all of them have failed again.
+    Micros initialDelay = std::chrono::milliseconds(50);
     Micros maxDelay = std::chrono::seconds(5);
-    Micros resetAfter = std::chrono::seconds(10); ///< a session that lasted so long clears earlier failures
+    /// A session of at least this duration resets the failure count.
+    Micros resetAfter = std::chrono::seconds(10);
 };
 
 /// Exponential backoff with jitter over a list of planners.
 class ReconnectBackoff {
 public:
-    /// `addressCount`: of planners, at least one; they are tried in turn.
+    /// `addressCount`: number of planners, at least one; they are tried in turn. `seed`: seed of the jitter.
     ReconnectBackoff(std::size_t addressCount, const ReconnectConfig& config, std::uint64_t seed)
         : addressCount_(addressCount), config_(config), random_(static_cast<std::uint32_t>(seed)) {}
 
+    /// Where to connect, and after which delay.
     struct Attempt {
         std::size_t address; ///< index of the planner
         Micros delay;
     };
-    /// A session ended after `sessionDuration` (zero: it was never established).
+    /// Returns the next attempt after a session that lasted `sessionDuration` (zero if it was never
+    /// established).
     ///
-    /// `retryAfter`: what the planner said; that planner is tried again then. Otherwise the next planner is tried with
-    /// a delay that doubles once each planner has failed. Each delay is drawn from the upper half of its range, so
-    /// that clients that failed together do not reconnect together.
+    /// If the planner requested a delay (`retryAfter`), the same planner is retried after that delay, up to
+    /// an upper limit. Otherwise the next planner is tried, with a delay that doubles each time that all
+    /// planners have failed. This delay is drawn from the upper half of its range, so that clients that
+    /// failed at the same time do not reconnect at the same time.
     Attempt nextAttempt(Micros sessionDuration, std::optional<Micros> retryAfter);
+    /// Index of the planner to connect to.
     std::size_t address() const { return address_; }
 
 private:
--- a/src/client/subscription.cpp
+++ b/src/client/subscription.cpp
@@ -15,12 +15,14 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kWelcomeTimeout = 3s;      // from the greeting; the lease is not known before the welcome
-constexpr int kHeartbeatsBeforeRequest = 3; // without progress, before a snapshot is requested
+/// Stands in for the lease duration until the welcome, which announces it.
+constexpr Micros kWelcomeTimeout = 3s;
+/// A snapshot of a lagging topic is requested after this number of heartbeats without progress.
+constexpr int kHeartbeatsBeforeRequest = 3;
 
 } // namespace
 
-// The first row that matches applies; an event without a row changes nothing.
+// The first matching row applies. An event without a matching row has no effect.
 const Subscription::Transition Subscription::kTransitions[] = {
     {State::Disconnected, Event::Connected, State::Greeting, Effect::SendHello},
     {State::Disconnected, Event::ConnectionClosed, State::Disconnected, Effect::Nothing},
@@ -48,12 +50,13 @@
     {State::Behind, Event::Applied, State::Behind, Effect::Acknowledge},
     {State::Behind, Event::PartReceived, State::Behind, Effect::AcknowledgePart},
     {State::Behind, Event::Duplicate, State::Behind, Effect::Acknowledge},
-    // A snapshot was requested already; a heartbeat shows if the request was lost.
+    // A snapshot has already been requested. If the request was lost, a later heartbeat detects it.
     {State::Behind, Event::Gap, State::Behind, Effect::Nothing},
     {State::Behind, Event::HeartbeatCurrent, State::Live, Effect::Nothing},
     {State::Behind, Event::HeartbeatPending, State::Behind, Effect::Nothing},
     {State::Behind, Event::HeartbeatBehind, State::Behind, Effect::RequestSnapshots},
-    {State::Any, Event::Welcomed, State::Disconnected, Effect::Close}, // a second one, or before the greeting
+    // A second welcome, or one before the greeting.
+    {State::Any, Event::Welcomed, State::Disconnected, Effect::Close},
     {State::Any, Event::Gap, State::Any, Effect::Nothing},
 };
 
@@ -128,7 +131,7 @@
     case FrameType::Beat: return checkHeartbeat(frame);
     case FrameType::Snapshot:
     case FrameType::Changes: return applyToReplica(frame);
-    default: ++frameCounts_.skipped; return Event::UnknownFrame; // of a later version of the protocol
+    default: ++frameCounts_.skipped; return Event::UnknownFrame; // from a later protocol version
     }
 }
 
@@ -165,8 +168,9 @@
     return topicsToRequest_.empty() ? Event::HeartbeatPending : Event::HeartbeatBehind;
 }
 
-/// Recovers from messages that were lost without a later one that would show the gap: what is missing and has made no
-/// progress for some heartbeats is requested. What still makes progress is only slow.
+/// Recovers from lost messages that no later message follows, so that no gap shows. A snapshot is requested
+/// of each topic whose position has not advanced for kHeartbeatsBeforeRequest heartbeats. A topic that still
+/// advances is merely slow.
 void Subscription::updateLags(const std::vector<TopicId>& behind) {
     std::map<TopicId, Lag> lags;
     topicsToRequest_.clear();
--- a/src/client/subscription.h
+++ b/src/client/subscription.h
@@ -1,5 +1,5 @@
-// The client's side of a pub-sub session: which bytes to send, and what received frames do to the replica. A state
-// machine that is fed bytes; it knows no socket, and the clock is handed in.
+// The client side of a pub-sub session: decides which bytes to send and applies received frames to the
+// replica. A state machine without I/O; the caller passes the received bytes and the time.
 #pragma once
 
 #include <cstdint>
@@ -16,63 +16,71 @@
 
 namespace zincstack::client {
 
+/// The identity that a client announces in its greeting.
 struct Identity {
-    std::optional<ProxyId> proxy; ///< none: an observer, which is no proxy
+    std::optional<ProxyId> proxy; ///< std::nullopt for an observer, which is not a proxy
     std::string zone;
     double weight = 1; ///< approximate requests per second
 };
 
-/// One client's subscription across any number of sessions; the replica survives their end.
+/// One client's subscription across any number of sessions. The replica is kept when a session ends.
 class Subscription {
 public:
-    /// Called from inside `feed` when a topic has changed or, without a topic, when the replica has become current.
+    /// Called from `feed` with the topic that has changed, or with std::nullopt when the replica has become
+    /// current.
     using OnChange = std::function<void(std::optional<pubsub::TopicId>)>;
 
-    /// `foreignExclusionHold`: see pubsub::Replica.
+    /// `foreignExclusionHold`: how long an exclusion outlives the planner that announced it; see
+    /// pubsub::Replica.
     Subscription(Identity identity, Micros foreignExclusionHold, OnChange onChange = {});
 
-    /// A connection was opened. Returns the greeting to send.
+    /// Starts a session on a new connection. Returns the greeting to send.
     std::string connected(Micros now);
-    /// Handles received bytes. Returns the bytes to send back; `usable()` is false once the session has ended.
+    /// Handles received bytes. Returns the bytes to send back; `usable()` is false once the session has
+    /// ended.
     std::string feed(std::string_view bytes, Micros now);
-    /// To be called at least every tenth of a second or so. Returns a heartbeat if one is due. Ends the session where
-    /// the planner has been silent for the length of the lease.
+    /// Returns a heartbeat if one is due; ends the session if nothing has arrived from the planner for longer
+    /// than the lease. The caller must call this several times per heartbeat interval.
     std::string tick(Micros now);
-    /// The frame that reports the demand since the last such report; empty where there is no established session.
+    /// Encodes a demand report on the `interval` since the previous report; empty if no session is
+    /// established.
     std::string encodeDemand(std::string_view requestClass, std::uint32_t requests, std::uint32_t unanswered,
                              Micros interval);
-    /// The last frame of a session that this side ends.
+    /// Encodes the Bye frame, the last frame of a session that the client ends.
     std::string farewell(std::string_view reason);
-    /// The connection has ended.
+    /// Must be called when the connection has closed.
     void connectionClosed();
 
     enum class State : std::uint8_t {
         Disconnected,
-        Greeting,   ///< Hello sent
-        CatchingUp, ///< accepted; the replica is not current yet
-        Live,       ///< the replica was current at the last heartbeat
-        Behind,     ///< something is missing and a snapshot has been requested
-        Any,        ///< in the transition table alone
+        Greeting,   ///< the greeting has been sent
+        CatchingUp, ///< the planner has accepted the session; the replica is not current yet
+        Live,       ///< the replica was current at a heartbeat; no loss detected since
+        Behind,     ///< messages are missing and a snapshot has been requested
+        Any,        ///< wildcard, only used in the transition table
     };
     State state() const { return state_; }
     bool usable() const { return state_ != State::Disconnected; }
     const pubsub::Replica& replica() const { return replica_; }
-    /// Why and for how long the planner ended the last session; none where it did not.
+    /// The planner's reason for ending the last session and the delay it requests before the next one.
+    /// std::nullopt if the planner has not ended the session or its notice cannot be decoded.
     const std::optional<pubsub::DisconnectNotice>& disconnectNotice() const { return disconnectNotice_; }
-    /// The last session was refused: the same greeting will be refused again.
+    /// Whether the planner refused the last session. Unless it requests a retry, it will refuse the same
+    /// greeting again.
     bool refused() const { return refused_; }
+    /// The name of the planner that accepted the last session.
     const std::string& planner() const { return planner_; }
-    /// Why the last session could not be continued, in one line; empty where it just ended.
+    /// The error that ended the last session, in one line; empty if it ended without one.
     const std::string& lastError() const { return lastError_; }
 
-    /// Frames received, by what they did to the replica, and snapshots requested.
+    /// Numbers of received frames by their effect on the replica, and of snapshots requested.
     struct FrameCounts {
         std::uint64_t applied = 0;
         std::uint64_t duplicates = 0;
         std::uint64_t gaps = 0;
         std::uint64_t otherEpoch = 0;
         std::uint64_t invalid = 0;
-        std::uint64_t skipped = 0; ///< of unknown types
+        std::uint64_t skipped = 0; ///< frames of unknown types
         std::uint64_t snapshotsRequested = 0;
     };
     const FrameCounts& frameCounts() const { return frameCounts_; }
@@ -87,9 +95,9 @@
         Duplicate,
         Gap,
         OtherEpoch,
-        HeartbeatCurrent, ///< the replica has everything
-        HeartbeatPending, ///< something is missing that may still be on its way
-        HeartbeatBehind,  ///< something is missing, and its position has not moved for a while
+        HeartbeatCurrent, ///< the replica is up to date
+        HeartbeatPending, ///< messages are missing, but may still be in transit
+        HeartbeatBehind,  ///< messages are missing and the position of a topic has not advanced for a while
         UnknownFrame,
         ProtocolError,
         LeaseExpired,
@@ -107,26 +115,30 @@
     struct Transition {
         State state;
         Event event;
-        State next; ///< Any: unchanged
+        State next; ///< Any if the state stays the same
         Effect effect;
     };
     static const Transition kTransitions[];
 
-    /// Position of a topic of which something is missing, and for how many heartbeats it has not moved.
+    /// A lagging topic's position in the replica, and the number of heartbeats that have found it there.
     struct Lag {
         std::optional<pubsub::Sequence> position;
         int heartbeats = 0;
     };
 
-    /// Applies an event to the state and appends to `reply`. False: nothing more is read from the connection.
+    /// Applies an event to the state machine and appends the bytes to send to `reply`. Returns false if the
+    /// session has ended and no more frames are to be read.
     bool handle(Event event, const pubsub::Frame& frame, std::string& reply);
-    /// False: the session cannot be continued.
+    /// Performs the effect of a transition. Returns false if the session cannot be continued.
     bool perform(Effect effect, const pubsub::Frame& frame, std::string& reply);
+    /// Processes a received frame and returns the resulting event.
     Event eventOf(const pubsub::Frame& frame);
     Event applyToReplica(const pubsub::Frame& frame);
+    /// Compares the planner's topic heads with the replica.
     Event checkHeartbeat(const pubsub::Frame& frame);
-    /// Counts the heartbeats of each lagging topic; fills `topicsToRequest_`.
+    /// Counts the heartbeats without progress of each lagging topic and sets `topicsToRequest_`.
     void updateLags(const std::vector<pubsub::TopicId>& behind);
+    /// Records the reason as `lastError_`.
     Event protocolError(std::string reason);
     bool acceptWelcome(const pubsub::Frame& frame);
     std::string encodeHello() const;
@@ -139,7 +151,7 @@
     pubsub::FrameReader reader_{pubsub::kMaxServerFrameBytes};
     State state_ = State::Disconnected;
     bool refused_ = false;
-    bool onlyBootstrapTable_ = true; // no table that a planner assigned has come yet
+    bool onlyBootstrapTable_ = true; // until the first table from a planner has been applied
     std::string planner_;
     std::string lastError_;
     std::optional<pubsub::DisconnectNotice> disconnectNotice_;
--- a/src/client/subscription_client.cpp
+++ b/src/client/subscription_client.cpp
@@ -21,10 +21,10 @@
 namespace {
 
 constexpr Micros kConnectTimeout = 2s;
-constexpr Micros kTickInterval = 250ms;                          // of heartbeats and the lease
-constexpr std::size_t kReadBufferBytes = std::size_t{16} * 1024; // read at once
-constexpr std::size_t kMaxUnsentBytes =
-    std::size_t{256} * 1024; // beyond it the planner does not read, and is left
+constexpr Micros kTickInterval = 250ms; // interval of the heartbeat and lease checks
+constexpr std::size_t kReadBufferBytes = std::size_t{16} * 1024;
+/// A planner that leaves more bytes unread is considered hung, and the connection is closed.
+constexpr std::size_t kMaxUnsentBytes = std::size_t{256} * 1024;
 
 } // namespace
 
@@ -75,9 +75,10 @@
 }
 
 std::string SubscriptionClient::endReason(bool wasEstablished) const {
-    if (const auto& notice = subscription_.disconnectNotice()) return "the planner said: " + notice->reason;
+    if (const auto& notice = subscription_.disconnectNotice())
+        return "session ended by the planner: " + notice->reason;
     if (!subscription_.lastError().empty()) return subscription_.lastError();
-    return wasEstablished ? "the stream ended" : "no planner answers";
+    return wasEstablished ? "connection closed" : "session could not be established";
 }
 
 asio::awaitable<void> SubscriptionClient::run() {
@@ -91,7 +92,7 @@
         const auto& notice = subscription_.disconnectNotice();
         const auto attempt = backoff_.nextAttempt(duration, notice ? notice->retryAfter : std::nullopt);
         address = attempt.address;
-        reportStatus(endReason(isEstablished_) + "; dialling again in " +
+        reportStatus(endReason(isEstablished_) + "; reconnecting in " +
                      std::to_string(attempt.delay.count() / 1000) + " ms");
         error_code ignored;
         backoffTimer_.expires_after(attempt.delay);
@@ -99,7 +100,7 @@
     }
 }
 
-/// Connects, and serves the session until it ends.
+/// Connects to the planner and processes received frames until the session ends.
 asio::awaitable<void> SubscriptionClient::runSession(Endpoint planner) {
     isEstablished_ = false;
     socket_ = asio::ip::tcp::socket(io_);
@@ -144,7 +145,8 @@
     if (subscription_.state() == Subscription::State::Greeting) return;
     isEstablished_ = true;
     ++sessionCount_;
-    reportStatus("planner " + subscription_.planner() + " at " + net::textOf(planner));
+    reportStatus("session established with planner " + subscription_.planner() + " at " +
+                 net::textOf(planner));
 }
 
 void SubscriptionClient::scheduleTick() {
@@ -158,8 +160,9 @@
     });
 }
 
-/// What the socket does not take at once is sent with the next bytes: messages to the planner are small, and a planner
-/// that reads none of them is of no use.
+/// Writes as much as the socket accepts without blocking; the rest is written by the next call. No write is
+/// awaited, because messages to the planner are small and a planner that does not read them is useless to the
+/// client.
 void SubscriptionClient::send(const std::string& bytes) {
     if (!socket_.is_open()) return;
     error_code error;
--- a/src/client/subscription_client.h
+++ b/src/client/subscription_client.h
@@ -1,5 +1,5 @@
-// Keeps a subscription connected: connects to planners, transfers bytes and drives the timers. A thin adapter:
-// Subscription decides what to send, ReconnectBackoff when and where to reconnect.
+// Keeps a subscription connected: connects to planners, transfers bytes and drives the timers. A thin
+// adapter: Subscription decides what to send, and ReconnectBackoff decides when and where to reconnect.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -19,43 +19,48 @@
 
 namespace zincstack::client {
 
-/// To be owned by a shared_ptr; runs on the thread of `io` alone.
+/// A client that reconnects. Must be owned by a std::shared_ptr and used only on the thread that runs `io`.
 class SubscriptionClient : public std::enable_shared_from_this<SubscriptionClient> {
 public:
     using Endpoint = boost::asio::ip::tcp::endpoint;
-    /// A line for people: a session was established or has ended, and why.
+    /// Receives a human-readable line when a session has been established or has ended, with the reason.
     using OnStatus = std::function<void(const std::string& line)>;
 
-    /// `planners`: at least one, tried in turn. `seed`: of the backoff's jitter. `foreignExclusionHold`: see
+    /// `planners`: at least one; they are tried in turn. `seed`: seed of the backoff's jitter.
+    /// `foreignExclusionHold`: how long an exclusion outlives the planner that announced it; see
     /// pubsub::Replica.
     SubscriptionClient(boost::asio::io_context& io, std::vector<Endpoint> planners, Identity identity,
                        const ReconnectConfig& reconnect, std::uint64_t seed, Micros foreignExclusionHold,
                        Subscription::OnChange onChange = {}, OnStatus onStatus = {});
 
+    /// Starts connecting. Must be called once.
     void start();
-    /// Sends a goodbye and does not reconnect.
+    /// Sends a Bye frame if a session is open, closes the connection and does not reconnect.
     void stop();
-    /// Resets the connection as a broken network does; the client reconnects. For tests and drills.
+    /// Resets the connection, as a network failure would; the client reconnects. For tests and failure
+    /// drills.
     void dropConnection();
-    /// Stops reading until it is switched off again, as a hanging client does. For tests and drills.
+    /// Stops reading until called with false, as a hung client would. For tests and failure drills.
     void pauseReading(bool paused);
-    /// Reports demand in the session that is established, if any.
+    /// Sends a demand report if a session is established.
     void reportDemand(std::string_view requestClass, std::uint32_t requests, std::uint32_t unanswered,
                       Micros interval);
 
     const Subscription& subscription() const { return subscription_; }
-    /// Sessions established so far.
+    /// Number of sessions established so far.
     std::uint64_t sessionCount() const { return sessionCount_; }
+    /// The steady clock, which the subscription uses.
     static Micros now();
 
 private:
     boost::asio::awaitable<void> run();
     boost::asio::awaitable<void> runSession(Endpoint planner);
     boost::asio::awaitable<void> waitUntilReadingResumes();
-    /// Reads once. False: the connection has ended.
+    /// Reads once. Returns false if the connection has ended.
     bool readAvailable(std::string& buffer);
+    /// Counts and reports the session once the planner has accepted it.
     void noteEstablished(const Endpoint& planner);
-    /// Why the last session ended, in one line.
+    /// The reason why the last session ended, in one line.
     std::string endReason(bool wasEstablished) const;
     void scheduleTick();
     void send(const std::string& bytes);
@@ -72,9 +77,9 @@
     boost::asio::steady_timer resumeTimer_; // never expires; cancelled when reading resumes
     bool isStopped_ = false;
     bool isReadingPaused_ = false;
-    bool isEstablished_ = false; // the current session
+    bool isEstablished_ = false; // whether the planner has accepted the current session
     std::uint64_t sessionCount_ = 0;
-    std::string unsentBytes_; // not taken by the socket yet
+    std::string unsentBytes_; // not yet accepted by the socket
 };
 
 } // namespace zincstack::client
--- a/tests/reconnect_backoff_test.cpp
+++ b/tests/reconnect_backoff_test.cpp
@@ -1,4 +1,4 @@
-// Exponential backoff with jitter over a list of planners.
+// Tests the reconnect delays and the choice of the planner.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,7 +23,7 @@
         longest = std::max(longest, attempt.delay);
     }
     EXPECT_GT(longest, 500ms);
-    EXPECT_EQ(backoff.nextAttempt(0s, 3s).delay, 3s); // as the planner said, and the same planner
+    EXPECT_EQ(backoff.nextAttempt(0s, 3s).delay, 3s); // the delay the planner requested, same planner
     EXPECT_EQ(backoff.address(), 0U);
     EXPECT_LE(backoff.nextAttempt(11s, {}).delay, 100ms);
     const auto first = ReconnectBackoff(2, {}, 1).nextAttempt(0s, {}).delay;
