--- a/src/errors/input_error.h
+++ b/src/errors/input_error.h
@@ -1,4 +1,4 @@
-// The error of everything that is read: files, settings, messages, command lines.
+// The exception for invalid input of any kind: files, settings, messages and command lines.
 #pragma once
 
 #include <stdexcept>
@@ -8,27 +8,29 @@
 
 namespace zincstack {
 
-/// Input that can't be used. `what()` is one plain line for people; the parts are for programs.
+/// Thrown for input that cannot be used. `what()` is one line for people; `reason()` and `location()` give
+/// its parts to programs.
 class InputError : public std::runtime_error {
 public:
-    /// Where the fault is. Either part is empty where it is not known.
+    /// The place of the error. Either part is empty if it is not known.
     struct Location {
-        std::string document; ///< the file, or the kind of input
-        std::string field;    ///< the setting, or the JSON pointer of the value
+        std::string document; ///< the file name or the kind of input
+        std::string field;    ///< the name of the setting or the JSON pointer of the value
     };
 
     explicit InputError(const std::string& reason) : InputError(reason, reason, {}) {}
 
-    /// "document: reason"; the reason names the field where there is one.
+    /// The message is "document: reason". If there is a field, the reason must name it.
     static InputError inDocument(std::string_view document, const std::string& reason,
                                  std::string_view field = {}) {
         return {std::string(document) + ": " + reason, reason, {std::string(document), std::string(field)}};
     }
-    /// "field: reason"
+    /// The message is "field: reason".
     static InputError atField(const std::string& field, const std::string& reason) {
         return {field + ": " + reason, reason, {{}, field}};
     }
-    /// The same error, found in that document. A line that already begins with its name stays as it is.
+    /// Returns the same error located in `document`. The message is not changed if it already begins with
+    /// that name.
     InputError withDocument(const std::string& document) const {
         const std::string text = what();
         const std::string line = text.starts_with(document) ? text : document + ": " + text;
@@ -42,7 +44,7 @@
     InputError(const std::string& line, std::string reason, Location location)
         : std::runtime_error(line), reason_(std::move(reason)), location_(std::move(location)) {}
 
-    std::string reason_; ///< what is wrong, without the place
+    std::string reason_; ///< the message without the location
     Location location_;
 };
 
--- a/src/http/http_response.cpp
+++ b/src/http/http_response.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::size_t kMaxHeadBytes = 64 * 1024; // as common servers limit it
+constexpr std::size_t kMaxHeadBytes = 64 * 1024; // a usual limit of HTTP servers
 constexpr int kStatusNoContent = 204;
 constexpr int kStatusNotModified = 304;
-// "HTTP/1.1 200": the place of the status code, and how long the line is at least.
+// Position of the status code in a status line such as "HTTP/1.1 200", and the minimum length of the line.
 constexpr std::size_t kStatusCodeOffset = 9;
 constexpr std::size_t kStatusCodeDigits = 3;
 constexpr std::size_t kMinStatusLine = kStatusCodeOffset + kStatusCodeDigits;
@@ -32,7 +32,7 @@
     return text;
 }
 
-/// False where the text as a whole is no number of that base.
+/// Returns false unless the whole text is a number in the given base.
 bool parseNumber(std::string_view text, std::size_t& number, int base) {
     const char* const textBegin = text.data();
     const char* const textEnd = textBegin + text.size();
@@ -59,7 +59,7 @@
         case State::BodyOfLength: feedBody(bytes, State::Done); break;
         case State::ChunkData: feedBody(bytes, State::ChunkEnd); break;
         case State::BodyUntilClose:
-            remainingBytes_ = bytes.size() + 1; // never all
+            remainingBytes_ = bytes.size() + 1; // never reaches zero: only `ended` completes this body
             feedBody(bytes, State::BodyUntilClose);
             break;
         default: feedLine(bytes);
@@ -154,7 +154,7 @@
 }
 
 void HttpResponse::readChunkSize(std::string_view text) {
-    headBytes_ = 0; // each line of a chunk is bounded alone; the body has its own bound
+    headBytes_ = 0; // the limit applies to the lines of each chunk; the body has a limit of its own
     const auto size = trimmed(text.substr(0, text.find(';')));
     if (!parseNumber(size, remainingBytes_, 16) || remainingBytes_ > maxBodyBytes_)
         state_ = State::Broken;
--- a/src/http/http_response.h
+++ b/src/http/http_response.h
@@ -1,4 +1,4 @@
-// Parser of one HTTP/1.1 response that arrives in arbitrary pieces. Knows no socket.
+// An incremental parser of one HTTP/1.1 response. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -8,25 +8,27 @@
 
 namespace zincstack::net {
 
-/// A state machine over lines and body bytes. Reads bodies by Content-Length, in chunks, or until the connection
-/// closes; interim responses (1xx) are skipped.
+/// A state machine over lines and body bytes. Supports bodies with a Content-Length, chunked bodies, and
+/// bodies that end when the connection closes. Skips interim responses (1xx).
 class HttpResponse {
 public:
     explicit HttpResponse(std::size_t maxBodyBytes) : maxBodyBytes_(maxBodyBytes) {}
 
-    /// The number of bytes taken: all of them unless the response is done or broken.
+    /// Parses the next bytes. Returns the number of bytes consumed: all of them unless the response is done
+    /// or broken.
     std::size_t feed(std::string_view bytes);
-    /// The connection is closed: the response is done if it may end so, otherwise broken.
+    /// Must be called when the connection has closed. This completes a body that has no declared length; any
+    /// other unfinished response becomes broken.
     void ended();
 
     bool done() const { return state_ == State::Done; }
-    /// Malformed, larger than allowed, or cut off.
+    /// Whether the response is malformed, larger than allowed, or truncated.
     bool broken() const { return state_ == State::Broken; }
     int status() const { return status_; }
     const std::string& body() const { return body_; }
-    /// Whether the server takes another request on this connection.
+    /// Whether the server accepts another request on this connection.
     bool keepAlive() const { return keepAlive_; }
-    /// Whether the server says by its header X-Never-Ran that the request had no effect.
+    /// Whether the response has the header X-Never-Ran, which states that the request had no effect.
     bool neverRan() const { return neverRan_; }
 
 private:
@@ -64,8 +66,8 @@
     State state_ = State::StatusLine;
     std::string unfinishedLine_;
     std::string body_;
-    std::size_t remainingBytes_ = 0; ///< of the body, or of the chunk
-    std::size_t headBytes_ = 0;      ///< in lines so far
+    std::size_t remainingBytes_ = 0; ///< bytes still expected of the body or of the current chunk
+    std::size_t headBytes_ = 0;      ///< bytes received in lines, as opposed to body bytes
     int status_ = 0;
     bool hasLength_ = false;
     bool chunked_ = false;
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// Stops at a maximum depth: a text of thousands of opening brackets would cost a node of the tree each.
+/// Stops at a maximum depth. Otherwise each of thousands of opening brackets would allocate a node of the
+/// tree.
 class DepthLimitedParser : public nlohmann::detail::json_sax_dom_parser<Value> {
 public:
     DepthLimitedParser(Value& tree, int maxDepth) : json_sax_dom_parser(tree, false), maxDepth_(maxDepth) {}
@@ -22,7 +23,7 @@
     template <class Exception>
     bool parse_error(std::size_t offset, const std::string& token, const Exception& error) {
         const std::string description = error.what();
-        const auto colon = description.find(": "); // the end of the library's own prefix
+        const auto colon = description.find(": "); // end of the prefix that the library adds
         error_ = "JSON at offset " + std::to_string(offset) + ": " +
                  (colon == std::string::npos ? description : description.substr(colon + 2));
         return json_sax_dom_parser::parse_error(offset, token, error);
@@ -33,7 +34,7 @@
 private:
     bool enterLevel() {
         if (++depth_ <= maxDepth_) return true;
-        error_ = "JSON: too deep, more than " + std::to_string(maxDepth_) + " levels";
+        error_ = "JSON: nested deeper than " + std::to_string(maxDepth_) + " levels";
         return false;
     }
 
@@ -58,7 +59,7 @@
         const bool parsed =
             Value::sax_parse(bytes.begin(), bytes.end(), &parser, Value::input_format_t::cbor);
         return parsed ? root : Value();
-    } catch (const Value::exception&) { return {}; } // thrown for a declared size that exceeds memory
+    } catch (const Value::exception&) { return {}; } // thrown for a declared size above the possible maximum
 }
 
 std::string writeCbor(const Value& value) {
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -1,4 +1,4 @@
-// JSON and CBOR as trees of nlohmann-json, parsed with a bound on depth, and access to members that may be absent.
+// Parses JSON and CBOR into nlohmann-json trees of limited depth, and gives access to optional members.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,17 +12,19 @@
 
 using Value = nlohmann::json;
 
-inline constexpr int kMaxTextDepth = 32; ///< deeper than any file or message of the planner
+inline constexpr int kMaxTextDepth = 32; ///< more levels than any valid file or message has
 
-/// Parses JSON. Throws InputError with the offset where the text is no JSON or deeper than `maxDepth`.
+/// Parses JSON. Throws InputError if the text is nested deeper than `maxDepth` or is not valid JSON; in the
+/// latter case the message has the offset.
 Value read(std::string_view text, int maxDepth = kMaxTextDepth);
-/// Parses CBOR. Null where the bytes are no CBOR, go on after it, or are deeper than `maxDepth`.
+/// Parses CBOR. Returns null if the bytes are not valid CBOR, have trailing bytes, or are nested deeper than
+/// `maxDepth`.
 Value readCbor(std::string_view bytes, int maxDepth);
 std::string writeCbor(const Value& value);
 
-/// A member of an object; null where there is none, or where `object` is no object.
+/// Returns a member of an object; null if the member is absent or `object` is not an object.
 const Value& member(const Value& object, const char* name);
-/// The text of a member; null pointer where it is missing or no text.
+/// Returns the text of a member; a null pointer if the member is absent or not a string.
 const std::string* textOf(const Value& object, const char* name);
 
 } // namespace zincstack::json
--- a/src/json/schema.cpp
+++ b/src/json/schema.cpp
@@ -24,7 +24,7 @@
     }
 }
 
-/// The library names a place as <root>[a][b]; this is the JSON pointer of the same place.
+/// Converts the library's context, of the form <root>[a][b], to a JSON pointer.
 std::string pointerOf(const std::vector<std::string>& context) {
     std::string pointer;
     for (const std::string_view part : context) {
@@ -36,7 +36,7 @@
     return pointer;
 }
 
-/// A value that failed only because one below it did is not worth a line of its own.
+/// Whether the error only states that a nested value is invalid, which has an error of its own.
 bool isExplainedBelow(const ValidationError& error, const std::vector<ValidationError>& all) {
     if (!error.message.starts_with("Failed to validate")) return false;
     return std::ranges::any_of(
--- a/src/json/schema.h
+++ b/src/json/schema.h
@@ -1,4 +1,4 @@
-// Validates a JSON tree against a JSON schema (draft 7), by valijson.
+// Validates a JSON tree against a JSON schema (draft 7), using valijson.
 #pragma once
 
 #include <string>
@@ -9,12 +9,14 @@
 
 namespace zincstack::json {
 
+/// One violation of a schema.
 struct ValidationError {
-    std::string pointer; ///< JSON pointer of the value; empty: the whole document
+    std::string pointer; ///< JSON pointer of the value; empty for the whole document
     std::string message;
 };
 
-/// All errors of the tree, sorted by place; empty if it is valid. The schema is the program's own and must be valid.
+/// Returns all errors of the tree, sorted by JSON pointer; empty if it is valid. The schema itself must be
+/// valid: it is part of the program.
 std::vector<ValidationError> validate(const Value& value, std::string_view schema);
 
 } // namespace zincstack::json
--- a/tests/http_response_test.cpp
+++ b/tests/http_response_test.cpp
@@ -1,4 +1,4 @@
-// The reader of HTTP responses.
+// Tests the HTTP response parser.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
--- a/tests/input_error_text.h
+++ b/tests/input_error_text.h
@@ -1,4 +1,4 @@
-// The message of the InputError that a call throws.
+// Helper for tests of error messages.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace zincstack::tests {
 
-/// Empty if the call throws none.
+/// Returns the message of the InputError that the call throws; empty if it throws none.
 std::string inputErrorOf(const auto& call) {
     try {
         call();
--- a/tests/json_test.cpp
+++ b/tests/json_test.cpp
@@ -1,4 +1,4 @@
-// The JSON reader.
+// Tests the JSON parser.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -27,7 +27,9 @@
                                                                     {"", "offset 1"}})
         EXPECT_NE(tests::inputErrorOf([&, t = text] { json::read(t); }).find(message), std::string::npos)
             << text;
-    EXPECT_NE(tests::inputErrorOf([] { json::read(std::string(100'000, '[')); }).find("too deep"),
+    EXPECT_NE(tests::inputErrorOf([] {
+                  json::read(std::string(100'000, '['));
+              }).find("nested deeper than 32 levels"),
               std::string::npos);
 }
 
