--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -24,13 +24,13 @@
 
 spdlog::level::level_enum spdlogLevel(Level level) { return kSpdlogLevels[static_cast<std::size_t>(level)]; }
 
-/// Bytes that are not UTF-8 are replaced rather than refused.
+/// Replaces invalid UTF-8 instead of throwing.
 template <class Json>
 std::string dump(const Json& value) {
     return value.dump(-1, ' ', false, json::Value::error_handler_t::replace);
 }
 
-/// The text itself where it is one plain word, otherwise in quotes.
+/// Returns the text unchanged if it is a single word without special characters, otherwise as a JSON string.
 std::string quotedIfNeeded(const std::string& text) {
     const bool isPlain = !text.empty() && std::ranges::all_of(text, [](char character) {
         return character > ' ' && character != '"' && character != '=' && character != '\x7f';
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,4 +1,4 @@
-// The program's log: events with fields, one a line, as text or as JSON. On spdlog.
+// Structured logging on top of spdlog: one event with its fields per line, as text or as JSON.
 #pragma once
 
 #include <cstdint>
@@ -37,14 +37,16 @@
 };
 using Fields = std::vector<Field>;
 
-/// Logs to standard error from now on; events below `minLevel` are left out. May be called again.
+/// Starts logging to standard error; events below `minLevel` are discarded. May be called again with other
+/// settings.
 void start(Format format, Level minLevel);
-/// Whether events of that level are written.
+/// Whether events of this level are written.
 bool enabled(Level level);
 /// Logs one event.
 void write(Level level, std::string_view event, const Fields& fields);
 
-/// Takes a list rather than Fields: on hot paths the fields are copied only where they are written.
+/// Takes a list instead of Fields, so that hot paths copy the fields into a vector only if the event is
+/// written.
 inline void debug(std::string_view event, const std::initializer_list<Field>& fields) {
     if (enabled(Level::Debug)) write(Level::Debug, event, fields);
 }
@@ -54,8 +56,8 @@
     write(Level::Critical, event, fields);
 }
 
-/// The line of an event without its time, as `write` hands it to the sink. The JSON object lacks its opening brace:
-/// the sink writes that with the time.
+/// Formats an event without its time, as `write` passes it to the sink. A JSON object has no opening brace,
+/// because the sink writes the brace together with the time.
 std::string formatLine(Format format, Level level, std::string_view event, const Fields& fields);
 
 } // namespace zincstack::log
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr auto kMinLogInterval = std::chrono::seconds(1); // for each counter
-constexpr std::size_t kMaxDetailLength = 120;             // peers choose the text
+constexpr auto kMinLogInterval = std::chrono::seconds(1); // per counter
+constexpr std::size_t kMaxDetailLength = 120;             // in bytes; peers determine the text
 
 constexpr std::string_view kNames[] = {"accepted",
                                        "closed",
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -1,4 +1,4 @@
-// The program's counters: what it received, sent and ignored. Logged on SIGUSR1 and at exit.
+// Counters of the input received and ignored and of the output sent. Logged on SIGUSR1 and at exit.
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 
 namespace zincstack::net {
 
-/// In the order in which they are logged. Sentinel is their number.
+/// The counters in the order in which they are logged. The value of Sentinel is their number.
 enum class Counter : std::uint8_t {
     Accepted,
     Closed,
@@ -74,18 +74,19 @@
 /// The name under which the counter is logged.
 std::string_view nameOf(Counter counter);
 
+/// The values of all counters.
 class Counters {
 public:
     void add(Counter counter, std::uint64_t amount = 1) { values_[indexOf(counter)] += amount; }
     std::uint64_t of(Counter counter) const { return values_[indexOf(counter)]; }
-    /// Counts an input that is ignored. It is also logged with its detail, at most once a second for each counter.
+    /// Counts an ignored input and logs it with `detail`, at most once per second and counter.
     void recordIgnored(Counter counter, std::string_view detail);
-    /// Asserts the condition in debug builds; counts a violation in release builds.
+    /// Asserts the condition in debug builds. In release builds a violation is counted and logged.
     void checkInvariant(bool holds) {
         assert(holds);
         if (!holds) recordIgnored(Counter::BrokenInvariant, "");
     }
-    /// The counters that are not zero, by name.
+    /// The names and values of the counters that are not zero.
     std::vector<std::pair<std::string_view, std::uint64_t>> all() const;
 
 private:
