--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -1,5 +1,5 @@
-// Memory blocks of one size that are reused. Connections take all of their buffers from a pool, so that its capacity
-// bounds the memory of all peers together.
+// A pool of reusable memory blocks of one size. Connections take their buffers from a pool, so that its
+// capacity limits the memory used for all peers together.
 #pragma once
 
 #include <array>
@@ -13,9 +13,10 @@
 inline constexpr std::size_t kBlockBytes = 4 * 1024;
 using Block = std::array<char, kBlockBytes>;
 
-/// Allocates blocks on demand, up to a capacity, and keeps those that are returned. Must outlive its leases.
+/// Allocates blocks on demand up to a capacity and keeps returned blocks for reuse. Must outlive its leases.
 class BufferPool {
 public:
+    /// `capacity`: maximum number of blocks leased at the same time.
     explicit BufferPool(std::size_t capacity) : capacity_(capacity) {}
 
     /// Owns a block and returns it to the pool on destruction. May be empty.
@@ -35,7 +36,7 @@
             if (block_) pool_->release(std::move(block_));
         }
         explicit operator bool() const { return block_ != nullptr; }
-        /// Only of a lease that is not empty.
+        /// Must not be called on an empty lease.
         char* data() const { return block_->data(); }
 
     private:
@@ -43,7 +44,7 @@
         std::unique_ptr<Block> block_;
     };
 
-    /// An empty lease where all blocks are leased.
+    /// Leases a block. Returns an empty lease if all blocks are in use.
     Lease take() {
         if (free_.empty()) {
             if (leased_ >= capacity_) return {};
@@ -54,7 +55,7 @@
         ++leased_;
         return {this, std::move(block)};
     }
-    /// How many blocks are leased.
+    /// Number of blocks in use.
     std::size_t leased() const { return leased_; }
 
 private:
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -34,7 +34,8 @@
     const auto outcome = co_await withTimeout(timeout, connect(socket, endpoint));
     error_code error = outcome.value_or(error_code{});
     if (!outcome) {
-        // The process may have stalled so that both the connection and the timer were due: ask the socket.
+        // If this process stalled, the connection may have been established before the timeout was handled.
+        // The socket tells whether it was.
         (void)socket.remote_endpoint(error);
         if (error) error = asio::error::timed_out;
     }
@@ -54,7 +55,7 @@
     const auto outcome = co_await withTimeout(std::max(remaining, Micros{0}), waitUntilReadable(socket));
     error = outcome.value_or(error_code{});
     if (error) co_return 0;
-    // Only the wait is cancelled by the timeout, never a read: no bytes are lost with it.
+    // The timeout cancels only the wait and never a read, so no bytes are lost.
     socket.non_blocking(true, error);
     if (error) co_return 0;
     const std::size_t received = socket.read_some(asio::buffer(block.data(), kBlockBytes), error);
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -1,4 +1,4 @@
-// Outgoing connections: connect, write a request, read a piece of the response, each with a bound on its time.
+// Operations on outgoing connections: connect, write a request, and read a piece of the response.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,17 +13,18 @@
 
 namespace zincstack::net {
 
-/// Connects within `timeout`; after that the error is timed_out. A connection that has come up by the time that a
-/// late timer is handled counts, however late the process handles it.
+/// Connects within `timeout`; otherwise the error is timed_out. A connection that has been established by the
+/// time the timeout is handled counts as a success, however late the process handles it.
 boost::asio::awaitable<boost::system::error_code>
 connectTo(boost::asio::ip::tcp::socket& socket, boost::asio::ip::tcp::endpoint endpoint, Micros timeout);
 
+/// Writes all bytes. Has no timeout of its own.
 boost::asio::awaitable<boost::system::error_code> writeAll(boost::asio::ip::tcp::socket& socket,
                                                            const std::string& bytes);
 
-/// Reads what has arrived into the block; the number of bytes. Sets `error` at the end of the stream, and to timed_out
-/// where nothing arrived by `deadline`. The deadline is that of a whole response, not of one piece; bytes that arrived
-/// before it are read even if the process comes to it later.
+/// Waits for data and reads it into the block; returns the number of bytes read. Sets `error` at the end of
+/// the stream, and to timed_out if nothing has arrived by `deadline`. The deadline applies to a whole
+/// response, not to one piece. Bytes that arrived before it are read even if the process handles them later.
 boost::asio::awaitable<std::size_t> readPiece(boost::asio::ip::tcp::socket& socket,
                                               const BufferPool::Lease& block,
                                               std::chrono::steady_clock::time_point deadline,
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -19,7 +19,7 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr int kMaxReadsPerTurn = 16; // then the other connections get their turn
+constexpr int kMaxReadsPerTurn = 16; // keeps one peer from delaying the other connections
 
 bool wouldBlock(const error_code& error) {
     return error == asio::error::would_block || error == asio::error::try_again;
@@ -48,7 +48,7 @@
 }
 
 void Connection::handleClosed() {
-    close("over");
+    close("unspecified");
     log::debug("connection_closed", {{"reason", closeReason_}});
     peer_->connectionClosed();
     counters_.add(Counter::Closed);
@@ -60,12 +60,16 @@
     socket_.close(ignored);
 }
 
-/// After a stall of this process the identifying bytes may wait on the socket while the deadline has passed.
+/// Reads once before closing: after a stall of this process, the bytes that identify the peer may have
+/// arrived but not been read yet.
 void Connection::expireJoinDeadline() {
-    if (!feedAvailable(1) || !peer_->joinDeadlineExpired()) end("did not join in time");
+    if (!feedAvailable(1) || !peer_->joinDeadlineExpired())
+        end("peer did not identify itself before the join deadline");
 }
 
-/// The peer may not read, so no more of the farewell is written than the socket takes at once.
+/// The peer may not be reading, so the farewell is written only as far as the socket accepts it without
+/// blocking. It is omitted if queued bytes are unwritten, because it would then fall into the middle of a
+/// message.
 void Connection::end(std::string_view reason) {
     const auto farewell = peer_ ? peer_->farewell() : std::string_view{};
     const bool amidMessage = !queue_.empty();
@@ -76,18 +80,19 @@
     close(reason);
 }
 
-/// Reading takes no block of a pool: peers that hold all blocks can't keep others from being read.
+/// Reading needs no block from a pool, so that peers that occupy all blocks cannot block reading from others.
 asio::awaitable<void> Connection::read() {
     error_code error;
     for (;;) {
         co_await socket_.async_wait(asio::socket_base::wait_read,
                                     asio::redirect_error(asio::use_awaitable, error));
         if (error) co_return end(error.message());
-        if (!feedAvailable(kMaxReadsPerTurn)) co_return end("what it said can't be taken");
+        if (!feedAvailable(kMaxReadsPerTurn)) co_return end("session ended by the protocol");
     }
 }
 
-/// Feeds what has arrived; false once the stream has ended or the protocol takes nothing more.
+/// Feeds received bytes to the protocol. Returns false if the stream has ended or the protocol accepts no
+/// more input.
 bool Connection::feedAvailable(int maxReads) {
     error_code error;
     std::size_t received = kBlockBytes;
@@ -108,10 +113,11 @@
 }
 
 bool Connection::push(std::string_view bytes) {
-    if (!socket_.is_open()) return true; // nobody is left to read
+    if (!socket_.is_open()) return true; // no peer is left to read the bytes
     if (queuedBytes_ > maxQueuedBytes_) return false;
     const std::size_t spare = queue_.empty() ? 0 : queue_.back().capacity();
-    std::deque<QueuedPiece> added; // all blocks first, so that nothing is queued where one is lacking
+    // All blocks are leased first, so that nothing is queued if the pool runs out.
+    std::deque<QueuedPiece> added;
     for (std::size_t capacity = spare; capacity < bytes.size(); capacity += kBlockBytes) {
         added.push_back({pushBlocks_.take(), {}, 0});
         if (!added.back().block) return false;
@@ -130,7 +136,8 @@
     if (!socket_.is_open()) return true;
     if (queuedBytes_ > maxQueuedBytes_) return false;
     std::size_t written = 0;
-    if (queue_.empty()) { // most peers take it at once: no coroutine is started for them
+    // Most sockets accept all bytes immediately, which avoids starting a coroutine.
+    if (queue_.empty()) {
         error_code ignored;
         written = socket_.write_some(asio::buffer(*bytes), ignored);
         counters_.add(Counter::BytesOut, written);
@@ -158,7 +165,7 @@
         const std::size_t written =
             co_await socket_.async_write_some(unwritten, asio::redirect_error(asio::use_awaitable, error));
         if (error) {
-            close("write: " + error.message()); // the reading side notices and ends the session
+            close("write failed: " + error.message()); // ends the read loop, which ends the session
             break;
         }
         counters_.add(Counter::BytesOut, written);
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,5 +1,5 @@
-// One connection of a peer: feeds what arrives to the peer's protocol and writes what is queued for the peer. Knows
-// no message.
+// The connection of one peer: feeds received bytes to the peer's protocol and writes the bytes that are
+// queued for the peer. Independent of the message format.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -20,43 +20,44 @@
 /// Bytes that are encoded once and queued for many peers.
 using SharedBytes = std::shared_ptr<const std::string>;
 
-/// Owns the socket, the peer's protocol and the write queue. It lives until both its reading and its writing side
-/// have ended. Reading goes on however much waits to be written.
+/// Owns the socket, the peer's protocol and the write queue. Lives until both the read and the write
+/// coroutine have ended. Reading continues regardless of the length of the write queue.
 class Connection final : public std::enable_shared_from_this<Connection> {
 public:
-    /// `pushBlocks` holds what is queued. `readBuffer` is shared by all connections: what is read is fed at once.
-    /// Past `maxQueuedBytes` nothing more is queued for a peer that reads slowly.
+    /// `pushBlocks` holds the queued bytes. `readBuffer` is shared by all connections, because received bytes
+    /// are fed to the protocol before the next read. Once more than `maxQueuedBytes` are queued for a slow
+    /// peer, nothing is added.
     Connection(boost::asio::ip::tcp::socket socket, Counters& counters, BufferPool& pushBlocks,
                const BufferPool::Lease& readBuffer, std::size_t maxQueuedBytes);
 
-    /// Serves the peer until the connection ends; `onClosed` is called then.
+    /// Reads from the peer until the connection ends, then calls `onClosed`.
     void start(std::unique_ptr<PeerProtocol> peer, std::function<void()> onClosed);
-    /// The time to identify itself is over: closes, unless bytes that have already arrived identify the peer.
+    /// Closes the connection at the join deadline, unless bytes that have already arrived identify the peer.
     void expireJoinDeadline();
     const PeerProtocol& peer() const { return *peer_; }
 
-    /// Queues all of the bytes; false and nothing is queued if too much waits already or no block is left. On a closed
-    /// connection the bytes are dropped, which counts as taken.
+    /// Queues all of the bytes. Returns false and queues nothing if the queue is over its limit or the pool
+    /// has too few blocks. On a closed connection the bytes are dropped and the result is true.
     bool push(std::string_view bytes);
-    /// The same with bytes that other connections share; they take no blocks.
+    /// Queues bytes that are shared with other connections; these need no blocks.
     bool push(SharedBytes bytes);
-    /// Whether everything that was queued has been written.
+    /// Whether all queued bytes have been written.
     bool idle() const { return queuedBytes_ == 0; }
 
-    /// Closes from this side without farewell; the first reason is the one that is logged.
+    /// Closes the connection without the farewell. If several reasons are given, the first one is logged.
     void close(std::string_view reason);
-    /// Closes from this side after the protocol's farewell.
+    /// Closes the connection after writing the protocol's farewell as far as possible.
     void end(std::string_view reason);
 
 private:
-    /// Holds either a block of its own or shared bytes.
+    /// A part of the write queue: either a block of its own or shared bytes.
     struct QueuedPiece {
         BufferPool::Lease block;
         SharedBytes shared;
         std::size_t size = 0;
 
         const char* data() const { return shared ? shared->data() : block.data(); }
-        /// The bytes that a block can still take; none of shared bytes.
+        /// Number of bytes that still fit into the block; zero for shared bytes.
         std::size_t capacity() const { return block ? kBlockBytes - size : 0; }
         /// Moves as many bytes as fit from the front of `bytes` into the block.
         void fillFrom(std::string_view& bytes);
@@ -76,10 +77,10 @@
     const std::size_t maxQueuedBytes_;
     std::unique_ptr<PeerProtocol> peer_;
     std::deque<QueuedPiece> queue_;
-    std::size_t writtenOfFront_ = 0; // bytes of the first piece
-    std::size_t queuedBytes_ = 0;    // not yet written, of all pieces
+    std::size_t writtenOfFront_ = 0; // bytes of the first piece that have been written
+    std::size_t queuedBytes_ = 0;    // unwritten bytes of all pieces
     bool writing_ = false;
-    std::string closeReason_; // the first one
+    std::string closeReason_; // the first reason that was given
 };
 
 } // namespace zincstack::net
--- a/src/net/line_framer.h
+++ b/src/net/line_framer.h
@@ -1,4 +1,4 @@
-// Splits a byte stream that arrives in arbitrary pieces into lines.
+// Splits a byte stream into lines.
 #pragma once
 
 #include <algorithm>
@@ -15,21 +15,23 @@
 
 inline constexpr std::size_t kMaxLineBytes = std::size_t{1} << 20;
 
-/// Holds the unfinished line at the end of the stream, in blocks of a pool. Lines end with LF or CR LF.
+/// Accepts the stream in arbitrary pieces and keeps an incomplete line in blocks of a pool. Lines end with LF
+/// or CR LF.
 class LineFramer {
 public:
     enum class Outcome : std::uint8_t {
-        Going,        ///< all bytes were taken
-        Stopped,      ///< the handler of lines returned false
+        Going,        ///< all bytes have been consumed
+        Stopped,      ///< the line handler returned false
         TooLong,      ///< a line is longer than allowed
-        OutOfBuffers, ///< the pool has no block left for the unfinished line
-        Unreadable    ///< bytes that no text has
+        OutOfBuffers, ///< the pool has no block left for the incomplete line
+        Unreadable    ///< a control character, or a byte that never occurs in UTF-8
     };
 
     explicit LineFramer(BufferPool& pool) : pool_(pool) {}
 
-    /// Calls `handleLine` with each complete line, without its end, until that returns false. `maxBytes()` is the
-    /// longest line that is allowed at that point. After another outcome than Going the stream is unusable.
+    /// Calls `handleLine` with each complete line, without its line ending, until the handler returns false.
+    /// `maxBytes()` returns the maximum length that is allowed for the current line. After any outcome other
+    /// than Going the stream cannot be continued.
     Outcome feed(std::string_view bytes, const auto& maxBytes,
                  const std::function<bool(std::string_view)>& handleLine) {
         while (!bytes.empty()) {
@@ -45,7 +47,7 @@
         return Outcome::Going;
     }
 
-    /// The beginning of the unfinished line, as far as its first block holds it.
+    /// The beginning of the incomplete line, at most one block of it.
     std::string_view unfinishedLine() const {
         if (unfinishedBytes_ == 0) return {};
         return {blocks_.front().data(), std::min(unfinishedBytes_, kBlockBytes)};
@@ -57,14 +59,15 @@
         return text;
     }
 
-    /// Control characters, and bytes that no text in UTF-8 has.
+    /// Whether the byte is a control character other than CR and tab, or never occurs in UTF-8.
     static bool isNoText(char character) {
         const auto byte = static_cast<unsigned char>(character);
         const bool isControl = (byte < 0x20 && character != '\r' && character != '\t') || byte == 0x7f;
         return isControl || byte == 0xc0 || byte == 0xc1 || byte > 0xf4;
     }
 
-    /// `lastPiece`: the rest of the line. A line that arrived in one piece is not copied.
+    /// Passes the line that ends with `lastPiece` to the handler. A line that arrived in one piece is not
+    /// copied.
     Outcome finishLine(std::string_view lastPiece, const std::function<bool(std::string_view)>& handleLine) {
         if (unfinishedBytes_ == 0)
             return handleLine(withoutCarriageReturn(lastPiece)) ? Outcome::Going : Outcome::Stopped;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -15,9 +15,9 @@
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
-constexpr auto kAcceptRetryDelay = 50ms; // after an error of the system, mostly a lack of descriptors
-constexpr std::chrono::steady_clock::duration kJoinTimeout = 1s;          // ample for a proxy or a collector
-constexpr std::chrono::steady_clock::duration kJoinTimeoutIfFull = 100ms; // while others wait to be accepted
+constexpr auto kAcceptRetryDelay = 50ms; // after a system error, usually a lack of file descriptors
+constexpr std::chrono::steady_clock::duration kJoinTimeout = 1s; // far more than a proxy or a collector needs
+constexpr std::chrono::steady_clock::duration kJoinTimeoutIfFull = 100ms; // while others may be waiting
 
 } // namespace
 
@@ -44,7 +44,7 @@
     acceptor_.close(ignored);
     acceptTimer_.cancel();
     joinTimer_.cancel();
-    for (const auto& peer : peers_) peer->end("the listener stops");
+    for (const auto& peer : peers_) peer->end("listener stopped");
 }
 
 asio::awaitable<void> Listener::sleep(asio::steady_timer& timer, Steady::time_point until) {
@@ -53,8 +53,9 @@
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-/// Peers that send nothing, half a message or only a health check would hold their places for ever. Each has a time
-/// to identify itself, a shorter one while others wait to be accepted.
+/// Closes peers that do not identify themselves in time. Otherwise peers that send nothing, half a message or
+/// only a health check would occupy their connections forever. The time limit is shorter while the listener
+/// is full.
 asio::awaitable<void> Listener::enforceJoinDeadlines() {
     while (!stopped_) {
         if (unidentified_.empty()) {
@@ -70,8 +71,8 @@
     }
 }
 
-/// False: the oldest unidentified peer has time left. A function of its own, so that the connection is not kept
-/// alive while the deadline is waited for.
+/// Returns whether the oldest entry of `unidentified_` can be removed, after closing the peer if its deadline
+/// has passed. A separate function, so that the coroutine does not keep the connection alive while it waits.
 bool Listener::settleOldest(Steady::time_point deadline) {
     const auto connection = unidentified_.front().connection.lock();
     if (!connection || !connection->peer().isUnidentified()) return true;
@@ -83,8 +84,9 @@
 asio::awaitable<void> Listener::accept() {
     while (!stopped_) {
         if (full()) {
-            counters_.recordIgnored(Counter::RefusedFull, "peers wait to be taken");
-            joinTimer_.cancel(); // the deadlines are earlier now
+            counters_.recordIgnored(Counter::RefusedFull,
+                                    "connection limit reached, new peers wait in the backlog");
+            joinTimer_.cancel(); // a full listener has earlier deadlines
             co_await sleep(acceptTimer_, Steady::time_point::max());
             continue;
         }
@@ -105,7 +107,7 @@
     const auto connection =
         std::make_shared<Connection>(std::move(socket), counters_, pushBlocks_, readBuffer_, maxQueuedBytes_);
     const auto position = peers_.insert(peers_.end(), connection);
-    if (unidentified_.empty()) joinTimer_.cancel(); // nobody was waited for
+    if (unidentified_.empty()) joinTimer_.cancel(); // it was waiting without a deadline
     unidentified_.push_back({Steady::now(), connection});
     connection->start(makePeer_(*connection), [this, self = shared_from_this(), position] {
         peers_.erase(position);
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-// Accepts connections at an address, bounds their number, and closes those that do not identify themselves in time.
+// Accepts connections at an address, limits their number, and closes peers that do not join in time.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -19,23 +19,27 @@
 
 namespace zincstack::net {
 
-/// Owns the listening socket and the open connections. Peers that have identified themselves are never closed to
-/// admit others: while the listener is full, new connections wait in the system's backlog.
+/// Owns the listening socket and the open connections. Peers that have identified themselves are never closed
+/// in favor of new ones: while the listener is full, new connections wait in the backlog of the operating
+/// system.
 class Listener : public std::enable_shared_from_this<Listener> {
 public:
-    /// The protocol that a new connection speaks.
+    /// Creates the protocol of a new connection.
     using MakePeer = std::function<std::unique_ptr<PeerProtocol>(Connection&)>;
 
-    /// `maxQueuedBytes`: of one connection. `lineBlocks` lends the buffer that all connections read into, `pushBlocks`
-    /// their write queues. Throws boost::system::system_error where the address can't be listened on.
+    /// `maxQueuedBytes`: limit of the write queue of one connection. `lineBlocks` provides the buffer that
+    /// all connections read into, `pushBlocks` the blocks of their write queues. Throws
+    /// boost::system::system_error if it cannot listen at the address.
     Listener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, std::size_t maxPeers,
              std::size_t maxQueuedBytes, Counters& counters, BufferPool& lineBlocks, BufferPool& pushBlocks,
              MakePeer makePeer);
 
+    /// Starts accepting connections. Must be called once.
     void start();
-    /// Accepts no more and closes every connection, with its farewell.
+    /// Stops accepting and closes all connections after their farewells.
     void stop();
     boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
+    /// Number of open connections.
     std::size_t peers() const { return peers_.size(); }
 
 private:
@@ -63,7 +67,7 @@
     const MakePeer makePeer_;
     const BufferPool::Lease readBuffer_;
     std::list<std::shared_ptr<Connection>> peers_;
-    std::deque<UnidentifiedPeer> unidentified_; // oldest first; some may have identified themselves or ended
+    std::deque<UnidentifiedPeer> unidentified_; // oldest first; may include peers that have joined or left
     bool stopped_ = false;
 };
 
--- a/src/net/peer_protocol.h
+++ b/src/net/peer_protocol.h
@@ -5,22 +5,25 @@
 
 namespace zincstack::net {
 
-/// A state machine that a connection feeds with bytes. Knows no socket.
+/// A state machine that a connection feeds with received bytes. Performs no I/O itself.
 class PeerProtocol {
 public:
     virtual ~PeerProtocol() = default;
 
-    /// Takes received bytes. False: the connection is to be closed and nothing more is fed.
+    /// Processes received bytes. Returns false if the connection is to be closed; `feed` is not called again
+    /// then.
     virtual bool feed(std::string_view bytes) = 0;
-    /// The time to identify itself is over. False: the peer has not, and the connection is to be closed.
+    /// Called at the join deadline. Returns false if the peer has not identified itself and the connection is
+    /// to be closed.
     virtual bool joinDeadlineExpired() = 0;
-    /// Whether the peer has yet to say which kind of peer it is.
+    /// Whether the peer has not yet identified itself.
     virtual bool isUnidentified() const = 0;
-    /// Everything that was queued for the peer has been written.
+    /// Called when everything that was queued for the peer has been written.
     virtual void writeQueueDrained() {}
-    /// The connection is closed.
+    /// Called when the connection has been closed.
     virtual void connectionClosed() = 0;
-    /// Bytes written before this side closes the connection, as far as the socket takes them at once; may be empty.
+    /// Bytes to write before this side closes the connection; may be empty. Only as many are written as the
+    /// socket accepts without blocking.
     virtual std::string_view farewell() const { return {}; }
 };
 
--- a/src/net/resource_budget.cpp
+++ b/src/net/resource_budget.cpp
@@ -8,18 +8,22 @@
 
 namespace {
 
-constexpr std::size_t kOwnDescriptors = 20; // standard streams, the loop's, signals, listening, discovery
+/// Standard streams, event loop, signals, listening socket and discovery.
+constexpr std::size_t kOwnDescriptors = 20;
 constexpr std::size_t kMinProbes = 4;
 constexpr std::size_t kMaxProbes = 64;
-constexpr std::size_t kProbeDivisor = 4; // health checks get this part of what the proxies leave
+/// Health checks get 1/kProbeDivisor of the descriptors that proxies and collectors do not need.
+constexpr std::size_t kProbeDivisor = 4;
 constexpr std::size_t kMegabyte = 1024 * 1024;
-constexpr std::size_t kBaseBytes = 16 * kMegabyte; // the program, its tables, its logger
+constexpr std::size_t kBaseBytes = 16 * kMegabyte; // the program, its tables and its logger
 constexpr std::size_t kMinBufferBytes = 4 * kMegabyte;
 constexpr std::size_t kMaxBufferBytes = 64 * kMegabyte;
-constexpr std::size_t kLineBlockDivisor = 4; // received lines are short beside the tables that are pushed
-constexpr std::size_t kListDivisor = 32; // of all memory: parsed to a tree a list takes many times its size
+/// Received lines get 1/kLineBlockDivisor of the blocks, since they are short compared with pushed tables.
+constexpr std::size_t kLineBlockDivisor = 4;
+/// A discovery list may take 1/kListDivisor of the memory: the tree parsed from it is many times its size.
+constexpr std::size_t kListDivisor = 32;
 
-/// What the planner's own descriptors leave.
+/// The number of descriptors left after those of the planner itself. A small limit is divided in half.
 std::size_t freeDescriptors(std::size_t descriptors) {
     if (descriptors > 2 * kOwnDescriptors) return descriptors - kOwnDescriptors;
     return descriptors / 2 + 1;
--- a/src/net/resource_budget.h
+++ b/src/net/resource_budget.h
@@ -1,4 +1,4 @@
-// How the configured limits of descriptors and memory are divided among peers, health checks and discovery.
+// Divides the configured limits on descriptors and memory among peers, health checks and discovery.
 #pragma once
 
 #include <cstddef>
@@ -6,16 +6,17 @@
 
 namespace zincstack::net {
 
+/// The limits that follow from the configured numbers of descriptors and megabytes.
 struct ResourceBudget {
-    std::size_t peers;      ///< connections accepted at the planner's address
-    std::size_t probes;     ///< health checks at the same time
-    std::size_t lineBlocks; ///< buffer blocks for partial lines of peers and for responses
-    std::size_t pushBlocks; ///< buffer blocks for what peers have not read yet
-    std::size_t listBytes;  ///< of one response of discovery
+    std::size_t peers;      ///< maximum number of connections accepted at the planner's address
+    std::size_t probes;     ///< maximum number of concurrent health checks
+    std::size_t lineBlocks; ///< buffer blocks for incomplete lines from peers and for responses
+    std::size_t pushBlocks; ///< buffer blocks for bytes that peers have not read yet
+    std::size_t listBytes;  ///< maximum size of one discovery response
 };
 
-/// Every proxy and one collector for each zone may connect to one planner. Unidentified peers, overlapping streams
-/// and health checks get what is left beside them.
+/// Reserves connections for every proxy and for one collector per zone, since all of them may connect to the
+/// same planner. Unidentified peers, overlapping streams and health checks share the remaining descriptors.
 ResourceBudget divideLimits(std::size_t descriptors, std::size_t memoryMegabytes, std::size_t proxies,
                             std::size_t zones);
 
--- a/src/net/rethrow.h
+++ b/src/net/rethrow.h
@@ -1,11 +1,12 @@
-// The completion handler of the planner's coroutines.
+// The completion handler of coroutines.
 #pragma once
 
 #include <exception>
 
 namespace zincstack::net {
 
-/// An exception that a coroutine did not handle leaves the event loop and ends the program.
+/// Rethrows an exception that a coroutine did not handle, so that it propagates out of the event loop and
+/// ends the program.
 inline void rethrow(const std::exception_ptr& failure) {
     if (failure) std::rethrow_exception(failure);
 }
--- a/src/net/with_timeout.h
+++ b/src/net/with_timeout.h
@@ -15,7 +15,8 @@
 
 namespace zincstack::net {
 
-/// The result of the operation; none if the timeout came first, and the operation is cancelled then.
+/// Returns the result of the operation. If the timeout expires first, cancels the operation and returns
+/// std::nullopt.
 template <class T>
 boost::asio::awaitable<std::optional<T>> withTimeout(Micros timeout, boost::asio::awaitable<T> operation) {
     using namespace boost::asio::experimental::awaitable_operators;
--- a/tests/line_framer_test.cpp
+++ b/tests/line_framer_test.cpp
@@ -1,4 +1,4 @@
-// The line framer: the same lines however the input is cut, and bounded memory.
+// Tests that the line framer yields the same lines for any fragmentation of the input and bounds its memory.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -1,4 +1,4 @@
-// The listener with the platform protocol: who loses a connection, and when.
+// Tests which connections a listener with the platform protocol closes, and when.
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/read.hpp>
 #include <boost/asio/write.hpp>
@@ -40,11 +40,13 @@
     const auto start = std::chrono::steady_clock::now();
     while (planner.received.empty() && io.run_one_for(10s)) {}
     EXPECT_EQ(planner.received, std::vector<std::string>{"joined 17 zone 1 fresh"});
-    EXPECT_LT(std::chrono::steady_clock::now() - start, 900ms); // less than a join deadline
+    // A listener that is not full closes unidentified peers only after 1 s.
+    EXPECT_LT(std::chrono::steady_clock::now() - start, 900ms);
     EXPECT_GE(counters.of(Counter::RefusedStranger), 3U);
 }
 
-/// Regression: peers that sent nothing, half a message or only a probe kept their connections.
+/// Regression: peers that sent nothing, half a message or only a health check kept their connections
+/// indefinitely.
 TEST_F(ListenerTest, ClosesPeersThatMissTheJoinDeadlineOnly) {
     using boost::asio::ip::tcp;
     const auto listener = listen(9);
--- a/tests/resource_budget_test.cpp
+++ b/tests/resource_budget_test.cpp
@@ -1,4 +1,4 @@
-// How the limits of the process are divided.
+// Tests the division of the limits on descriptors and memory.
 #include <gtest/gtest.h>
 
 #include "net/buffer_pool.h"
@@ -7,7 +7,8 @@
 namespace zincstack::net {
 namespace {
 
-/// Regression: with 256 descriptors half of them were kept from peers, although every proxy may connect to one planner.
+/// Regression: with a limit of 256 descriptors, half of them were not available to peers, although every
+/// proxy may connect to the same planner.
 TEST(ResourceBudgetTest, HasAConnectionForEveryProxyAndBoundsMemory) {
     for (const std::size_t sockets : {256U, 512U, 1024U})
         for (const std::size_t memory : {32U, 48U, 192U}) {
