--- a/src/client/reconnect_backoff.cpp
+++ b/src/client/reconnect_backoff.cpp
@@ -18,16 +18,16 @@
     if (sessionDuration >= config_.resetAfter) failures_ = 0;
     if (retryAfter) {
         failures_ = 0;
-        return {address_, std::min(*retryAfter, config_.maxDelay * kMaxRetryAfterInMaxDelays)};
+        return {plannerIndex_, std::min(*retryAfter, config_.maxDelay * kMaxRetryAfterInMaxDelays)};
     }
-    address_ = (address_ + 1) % addressCount_;
-    const unsigned rounds = failures_ / static_cast<unsigned>(addressCount_);
+    plannerIndex_ = (plannerIndex_ + 1) % plannerCount_;
+    const unsigned rounds = failures_ / static_cast<unsigned>(plannerCount_);
     ++failures_;
     const unsigned doublings = std::min(rounds, kMaxDoublings);
     const Micros delay = std::min(Micros(config_.initialDelay * (1LL << doublings)), config_.maxDelay);
     // The output of std::mt19937 is the same on every platform; that of the standard distributions is not.
     const auto halfRange = static_cast<std::uint64_t>(delay.count() / 2 + 1);
-    return {address_, delay / 2 + Micros(random_() % halfRange)};
+    return {plannerIndex_, delay / 2 + Micros(random_() % halfRange)};
 }
 
 } // namespace zincstack::client
--- a/src/client/reconnect_backoff.h
+++ b/src/client/reconnect_backoff.h
@@ -22,13 +22,13 @@
 /// Exponential backoff with jitter over a list of planners.
 class ReconnectBackoff {
 public:
-    /// `addressCount`: number of planners, at least one; they are tried in turn. `seed`: seed of the jitter.
-    ReconnectBackoff(std::size_t addressCount, const ReconnectConfig& config, std::uint64_t seed)
-        : addressCount_(addressCount), config_(config), random_(static_cast<std::uint32_t>(seed)) {}
+    /// `plannerCount`: number of planners, at least one; they are tried in turn. `seed`: seed of the jitter.
+    ReconnectBackoff(std::size_t plannerCount, const ReconnectConfig& config, std::uint64_t seed)
+        : plannerCount_(plannerCount), config_(config), random_(static_cast<std::uint32_t>(seed)) {}
 
     /// Where to connect, and after which delay.
     struct Attempt {
-        std::size_t address; ///< index of the planner
+        std::size_t plannerIndex;
         Micros delay;
     };
     /// Returns the next attempt after a session that lasted `sessionDuration` (zero if it was never
@@ -40,13 +40,13 @@
     /// failed at the same time do not reconnect at the same time.
     Attempt nextAttempt(Micros sessionDuration, std::optional<Micros> retryAfter);
     /// Index of the planner to connect to.
-    std::size_t address() const { return address_; }
+    std::size_t plannerIndex() const { return plannerIndex_; }
 
 private:
-    const std::size_t addressCount_;
+    const std::size_t plannerCount_;
     const ReconnectConfig config_;
     std::mt19937 random_;
-    std::size_t address_ = 0;
+    std::size_t plannerIndex_ = 0;
     unsigned failures_ = 0;
 };
 
--- a/src/client/subscription.cpp
+++ b/src/client/subscription.cpp
@@ -75,7 +75,7 @@
     lastError_.clear();
     lags_.clear();
     std::string reply;
-    handle(Event::Connected, {}, reply);
+    handleEvent(Event::Connected, {}, reply);
     return reply;
 }
 
@@ -83,9 +83,9 @@
     std::string reply;
     now_ = now;
     if (!bytes.empty()) lastReceivedAt_ = now;
-    const auto handleFrame = [&](Frame& frame) { return handle(eventOf(frame), frame, reply); };
+    const auto handleFrame = [&](Frame& frame) { return handleEvent(processFrame(frame), frame, reply); };
     const auto fault = reader_.feed(bytes, handleFrame);
-    if (fault && usable()) handle(protocolError(*fault), {}, reply);
+    if (fault && usable()) handleEvent(protocolError(*fault), {}, reply);
     if (!reply.empty()) lastSentAt_ = now;
     return reply;
 }
@@ -96,7 +96,7 @@
     if (now - lastReceivedAt_ > leaseDuration_) {
         lastError_ = "the planner has been silent";
         std::string noReply;
-        handle(Event::LeaseExpired, {}, noReply);
+        handleEvent(Event::LeaseExpired, {}, noReply);
         return {};
     }
     if (state_ == State::Greeting || now - lastSentAt_ < heartbeatInterval_) return {};
@@ -120,10 +120,10 @@
 
 void Subscription::connectionClosed() {
     std::string noReply;
-    handle(Event::ConnectionClosed, {}, noReply);
+    handleEvent(Event::ConnectionClosed, {}, noReply);
 }
 
-Subscription::Event Subscription::eventOf(const Frame& frame) {
+Subscription::Event Subscription::processFrame(const Frame& frame) {
     switch (frame.type) {
     case FrameType::Welcome: return Event::Welcomed;
     case FrameType::Refused:
@@ -188,14 +188,14 @@
     lags_ = std::move(lags);
 }
 
-bool Subscription::handle(Event event, const Frame& frame, std::string& reply) {
+bool Subscription::handleEvent(Event event, const Frame& frame, std::string& reply) {
     const auto* const row = std::ranges::find_if(kTransitions, [&](const Transition& candidate) {
         return candidate.event == event && (candidate.state == state_ || candidate.state == State::Any);
     });
     if (row == std::end(kTransitions)) return usable();
     const State before = state_;
     if (row->next != State::Any) state_ = row->next;
-    if (!perform(row->effect, frame, reply)) {
+    if (!performEffect(row->effect, frame, reply)) {
         state_ = State::Disconnected;
         return false;
     }
@@ -207,7 +207,7 @@
     return usable();
 }
 
-bool Subscription::perform(Effect effect, const Frame& frame, std::string& reply) {
+bool Subscription::performEffect(Effect effect, const Frame& frame, std::string& reply) {
     switch (effect) {
     case Effect::Nothing: return true;
     case Effect::SendHello: reply += encodeHello(); return true;
--- a/src/client/subscription.h
+++ b/src/client/subscription.h
@@ -128,11 +128,11 @@
 
     /// Applies an event to the state machine and appends the bytes to send to `reply`. Returns false if the
     /// session has ended and no more frames are to be read.
-    bool handle(Event event, const pubsub::Frame& frame, std::string& reply);
+    bool handleEvent(Event event, const pubsub::Frame& frame, std::string& reply);
     /// Performs the effect of a transition. Returns false if the session cannot be continued.
-    bool perform(Effect effect, const pubsub::Frame& frame, std::string& reply);
+    bool performEffect(Effect effect, const pubsub::Frame& frame, std::string& reply);
     /// Processes a received frame and returns the resulting event.
-    Event eventOf(const pubsub::Frame& frame);
+    Event processFrame(const pubsub::Frame& frame);
     Event applyToReplica(const pubsub::Frame& frame);
     /// Compares the planner's topic heads with the replica.
     Event checkHeartbeat(const pubsub::Frame& frame);
--- a/src/client/subscription_client.cpp
+++ b/src/client/subscription_client.cpp
@@ -82,16 +82,16 @@
 }
 
 asio::awaitable<void> SubscriptionClient::run() {
-    std::size_t address = backoff_.address();
+    std::size_t plannerIndex = backoff_.plannerIndex();
     while (!isStopped_) {
         const Micros start = now();
-        co_await runSession(planners_[address]);
+        co_await runSession(planners_[plannerIndex]);
         subscription_.connectionClosed();
         if (isStopped_) co_return;
         const Micros duration = isEstablished_ ? now() - start : 0us;
         const auto& notice = subscription_.disconnectNotice();
         const auto attempt = backoff_.nextAttempt(duration, notice ? notice->retryAfter : std::nullopt);
-        address = attempt.address;
+        plannerIndex = attempt.plannerIndex;
         reportStatus(endReason(isEstablished_) + "; reconnecting in " +
                      std::to_string(attempt.delay.count() / 1000) + " ms");
         error_code ignored;
@@ -117,7 +117,7 @@
         if (error) break;
         co_await waitUntilReadingResumes();
         if (!socket_.is_open() || !readAvailable(buffer)) break;
-        noteEstablished(planner);
+        reportEstablished(planner);
     }
     tickTimer_.cancel();
     socket_.close(error);
@@ -140,7 +140,7 @@
     return true;
 }
 
-void SubscriptionClient::noteEstablished(const Endpoint& planner) {
+void SubscriptionClient::reportEstablished(const Endpoint& planner) {
     if (isEstablished_ || !subscription_.usable()) return;
     if (subscription_.state() == Subscription::State::Greeting) return;
     isEstablished_ = true;
--- a/src/client/subscription_client.h
+++ b/src/client/subscription_client.h
@@ -59,7 +59,7 @@
     /// Reads once. Returns false if the connection has ended.
     bool readAvailable(std::string& buffer);
     /// Counts and reports the session once the planner has accepted it.
-    void noteEstablished(const Endpoint& planner);
+    void reportEstablished(const Endpoint& planner);
     /// The reason why the last session ended, in one line.
     std::string endReason(bool wasEstablished) const;
     void scheduleTick();
