--- a/src/http/http_response.cpp
+++ b/src/http/http_response.cpp
@@ -56,7 +56,7 @@
     const std::size_t size = bytes.size();
     while (!bytes.empty() && !done() && !broken()) {
         switch (state_) {
-        case State::BodyOfLength: feedBody(bytes, State::Done); break;
+        case State::BodyWithLength: feedBody(bytes, State::Done); break;
         case State::ChunkData: feedBody(bytes, State::ChunkEnd); break;
         case State::BodyUntilClose:
             remainingBytes_ = bytes.size() + 1; // never reaches zero: only `ended` completes this body
@@ -127,7 +127,7 @@
     const auto name = text.substr(0, colon);
     const auto value = trimmed(text.substr(colon + 1));
     if (equalsIgnoringCase(name, "Content-Length")) {
-        hasLength_ = true;
+        hasContentLength_ = true;
         if (!parseNumber(value, remainingBytes_, 10) || remainingBytes_ > maxBodyBytes_)
             state_ = State::Broken;
     } else if (equalsIgnoringCase(name, "Transfer-Encoding")) {
@@ -142,7 +142,7 @@
 void HttpResponse::startBody() {
     const bool isInterim = status_ / 100 == 1;
     const bool hasNoBody = status_ == kStatusNoContent || status_ == kStatusNotModified ||
-                           (hasLength_ && !chunked_ && remainingBytes_ == 0);
+                           (hasContentLength_ && !chunked_ && remainingBytes_ == 0);
     if (isInterim)
         *this = HttpResponse(maxBodyBytes_);
     else if (hasNoBody)
@@ -150,7 +150,7 @@
     else if (chunked_)
         state_ = State::ChunkSize;
     else
-        state_ = hasLength_ ? State::BodyOfLength : State::BodyUntilClose;
+        state_ = hasContentLength_ ? State::BodyWithLength : State::BodyUntilClose;
 }
 
 void HttpResponse::readChunkSize(std::string_view text) {
--- a/src/http/http_response.h
+++ b/src/http/http_response.h
@@ -35,7 +35,7 @@
     enum class State : std::uint8_t {
         StatusLine,
         Headers,
-        BodyOfLength,
+        BodyWithLength,
         BodyUntilClose,
         ChunkSize,
         ChunkData,
@@ -69,7 +69,7 @@
     std::size_t remainingBytes_ = 0; ///< bytes still expected of the body or of the current chunk
     std::size_t headBytes_ = 0;      ///< bytes received in lines, as opposed to body bytes
     int status_ = 0;
-    bool hasLength_ = false;
+    bool hasContentLength_ = false;
     bool chunked_ = false;
     bool keepAlive_ = true;
     bool neverRan_ = false;
--- a/src/json/schema.cpp
+++ b/src/json/schema.cpp
@@ -25,7 +25,7 @@
 }
 
 /// Converts the library's context, of the form <root>[a][b], to a JSON pointer.
-std::string pointerOf(const std::vector<std::string>& context) {
+std::string toJsonPointer(const std::vector<std::string>& context) {
     std::string pointer;
     for (const std::string_view part : context) {
         if (part == "<root>") continue;
@@ -37,7 +37,7 @@
 }
 
 /// Whether the error only states that a nested value is invalid, which has an error of its own.
-bool isExplainedBelow(const ValidationError& error, const std::vector<ValidationError>& all) {
+bool isReportedByNestedError(const ValidationError& error, const std::vector<ValidationError>& all) {
     if (!error.message.starts_with("Failed to validate")) return false;
     return std::ranges::any_of(
         all, [&](const ValidationError& other) { return other.pointer.starts_with(error.pointer + "/"); });
@@ -54,10 +54,10 @@
     valijson::Validator().validate(parsedSchema, valijson::adapters::NlohmannJsonAdapter(value), &results);
     std::vector<ValidationError> all;
     for (valijson::ValidationResults::Error error; results.popError(error);)
-        all.push_back({pointerOf(error.context), error.description});
+        all.push_back({toJsonPointer(error.context), error.description});
     std::vector<ValidationError> errors;
     std::ranges::copy_if(all, std::back_inserter(errors),
-                         [&](const ValidationError& error) { return !isExplainedBelow(error, all); });
+                         [&](const ValidationError& error) { return !isReportedByNestedError(error, all); });
     std::ranges::stable_sort(errors, {}, &ValidationError::pointer);
     return errors;
 }
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -75,9 +75,9 @@
     add(counter);
     constexpr std::chrono::steady_clock::time_point kNever{};
     const auto now = std::chrono::steady_clock::now();
-    auto& loggedAt = loggedAt_[indexOf(counter)];
-    if (loggedAt != kNever && now - loggedAt < kMinLogInterval) return;
-    loggedAt = now;
+    auto& lastLoggedAt = lastLoggedAt_[indexOf(counter)];
+    if (lastLoggedAt != kNever && now - lastLoggedAt < kMinLogInterval) return;
+    lastLoggedAt = now;
     log::warn(
         "passed_over",
         {{"kind", nameOf(counter)}, {"so_far", of(counter)}, {"detail", detail.substr(0, kMaxDetailLength)}});
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -94,7 +94,7 @@
     static constexpr std::size_t indexOf(Counter counter) { return static_cast<std::size_t>(counter); }
 
     std::array<std::uint64_t, kSize> values_{};
-    std::array<std::chrono::steady_clock::time_point, kSize> loggedAt_{};
+    std::array<std::chrono::steady_clock::time_point, kSize> lastLoggedAt_{};
 };
 
 } // namespace zincstack::net
--- a/tests/http_response_test.cpp
+++ b/tests/http_response_test.cpp
@@ -10,14 +10,14 @@
 namespace zincstack::net {
 namespace {
 
-HttpResponse responseOf(std::string_view text, bool ends) {
+HttpResponse responseOf(std::string_view text, bool closes) {
     HttpResponse response(1 << 20);
     tests::feedInPieces(text, [&](std::string_view piece) { response.feed(piece); });
-    if (ends) response.ended();
+    if (closes) response.ended();
     return response;
 }
 
-RC_GTEST_PROP(HttpResponseTest, ReadsBodiesOfEachEncodingInAnyPieces, ()) {
+RC_GTEST_PROP(HttpResponseTest, ReadsEveryBodyEncodingFromArbitraryPieces, ()) {
     const std::string_view texts[] = {
         "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=1\r\nllo\r\n0\r\nT: v\r\n\r\n",
@@ -29,8 +29,9 @@
         RC_ASSERT(response.status() == 200);
         RC_ASSERT(response.body() == "hello");
     }
-    const std::string_view cut = texts[*rc::gen::inRange(0, 3)];
-    RC_ASSERT(responseOf(cut.substr(0, *rc::gen::inRange<std::size_t>(0, cut.size())), true).broken());
+    const std::string_view complete = texts[*rc::gen::inRange(0, 3)];
+    RC_ASSERT(
+        responseOf(complete.substr(0, *rc::gen::inRange<std::size_t>(0, complete.size())), true).broken());
 }
 
 TEST(HttpResponseTest, RejectsMalformedResponses) {
