--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -56,7 +56,7 @@
         return {this, std::move(block)};
     }
     /// Number of blocks in use.
-    std::size_t leased() const { return leased_; }
+    std::size_t leasedCount() const { return leased_; }
 
 private:
     void release(std::unique_ptr<Block> block) {
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -72,8 +72,8 @@
 /// message.
 void Connection::end(std::string_view reason) {
     const auto farewell = peer_ ? peer_->farewell() : std::string_view{};
-    const bool amidMessage = !queue_.empty();
-    if (socket_.is_open() && !amidMessage && !farewell.empty()) {
+    const bool isMidMessage = !queue_.empty();
+    if (socket_.is_open() && !isMidMessage && !farewell.empty()) {
         error_code ignored;
         socket_.write_some(asio::buffer(farewell), ignored);
     }
@@ -115,7 +115,7 @@
 bool Connection::push(std::string_view bytes) {
     if (!socket_.is_open()) return true; // no peer is left to read the bytes
     if (queuedBytes_ > maxQueuedBytes_) return false;
-    const std::size_t spare = queue_.empty() ? 0 : queue_.back().capacity();
+    const std::size_t spare = queue_.empty() ? 0 : queue_.back().freeBytes();
     // All blocks are leased first, so that nothing is queued if the pool runs out.
     std::deque<QueuedPiece> added;
     for (std::size_t capacity = spare; capacity < bytes.size(); capacity += kBlockBytes) {
@@ -144,7 +144,7 @@
     }
     const std::size_t size = bytes->size();
     if (written == size) return true;
-    if (queue_.empty()) writtenOfFront_ = written;
+    if (queue_.empty()) frontWrittenBytes_ = written;
     queue_.push_back({{}, std::move(bytes), size});
     startWriting(size - written);
     return true;
@@ -160,7 +160,8 @@
 asio::awaitable<void> Connection::write() {
     while (queuedBytes_ > 0) {
         const QueuedPiece& front = queue_.front();
-        const auto unwritten = asio::buffer(front.data() + writtenOfFront_, front.size - writtenOfFront_);
+        const auto unwritten =
+            asio::buffer(front.data() + frontWrittenBytes_, front.size - frontWrittenBytes_);
         error_code error;
         const std::size_t written =
             co_await socket_.async_write_some(unwritten, asio::redirect_error(asio::use_awaitable, error));
@@ -176,11 +177,11 @@
 }
 
 void Connection::removeWritten(std::size_t bytes) {
-    writtenOfFront_ += bytes;
+    frontWrittenBytes_ += bytes;
     queuedBytes_ -= bytes;
-    if (writtenOfFront_ < queue_.front().size) return;
+    if (frontWrittenBytes_ < queue_.front().size) return;
     queue_.pop_front();
-    writtenOfFront_ = 0;
+    frontWrittenBytes_ = 0;
 }
 
 } // namespace zincstack::net
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -58,7 +58,7 @@
 
         const char* data() const { return shared ? shared->data() : block.data(); }
         /// Number of bytes that still fit into the block; zero for shared bytes.
-        std::size_t capacity() const { return block ? kBlockBytes - size : 0; }
+        std::size_t freeBytes() const { return block ? kBlockBytes - size : 0; }
         /// Moves as many bytes as fit from the front of `bytes` into the block.
         void fillFrom(std::string_view& bytes);
     };
@@ -77,8 +77,8 @@
     const std::size_t maxQueuedBytes_;
     std::unique_ptr<PeerProtocol> peer_;
     std::deque<QueuedPiece> queue_;
-    std::size_t writtenOfFront_ = 0; // bytes of the first piece that have been written
-    std::size_t queuedBytes_ = 0;    // unwritten bytes of all pieces
+    std::size_t frontWrittenBytes_ = 0; // bytes of the first piece that have been written
+    std::size_t queuedBytes_ = 0;       // unwritten bytes of all pieces
     bool writing_ = false;
     std::string closeReason_; // the first reason that was given
 };
--- a/src/net/line_framer.h
+++ b/src/net/line_framer.h
@@ -38,7 +38,7 @@
             const auto end = bytes.find('\n');
             const auto piece = bytes.substr(0, end);
             if (unfinishedBytes_ + piece.size() > maxBytes()) return Outcome::TooLong;
-            if (std::ranges::any_of(piece, isNoText)) return Outcome::Unreadable;
+            if (std::ranges::any_of(piece, isInvalidTextByte)) return Outcome::Unreadable;
             if (end == std::string_view::npos) return append(piece);
             bytes.remove_prefix(end + 1);
             const auto outcome = finishLine(piece, handleLine);
@@ -60,7 +60,7 @@
     }
 
     /// Whether the byte is a control character other than CR and tab, or never occurs in UTF-8.
-    static bool isNoText(char character) {
+    static bool isInvalidTextByte(char character) {
         const auto byte = static_cast<unsigned char>(character);
         const bool isControl = (byte < 0x20 && character != '\r' && character != '\t') || byte == 0x7f;
         return isControl || byte == 0xc0 || byte == 0xc1 || byte > 0xf4;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -47,7 +47,7 @@
     for (const auto& peer : peers_) peer->end("listener stopped");
 }
 
-asio::awaitable<void> Listener::sleep(asio::steady_timer& timer, Steady::time_point until) {
+asio::awaitable<void> Listener::sleepUntil(asio::steady_timer& timer, Clock::time_point until) {
     boost::system::error_code ignored;
     timer.expires_at(until);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -59,24 +59,24 @@
 asio::awaitable<void> Listener::enforceJoinDeadlines() {
     while (!stopped_) {
         if (unidentified_.empty()) {
-            co_await sleep(joinTimer_, Steady::time_point::max());
+            co_await sleepUntil(joinTimer_, Clock::time_point::max());
             continue;
         }
         const auto timeout = full() ? kJoinTimeoutIfFull : kJoinTimeout;
         const auto deadline = unidentified_.front().acceptedAt + timeout;
-        if (settleOldest(deadline))
+        if (resolveOldestUnidentified(deadline))
             unidentified_.pop_front();
         else
-            co_await sleep(joinTimer_, deadline);
+            co_await sleepUntil(joinTimer_, deadline);
     }
 }
 
 /// Returns whether the oldest entry of `unidentified_` can be removed, after closing the peer if its deadline
 /// has passed. A separate function, so that the coroutine does not keep the connection alive while it waits.
-bool Listener::settleOldest(Steady::time_point deadline) {
+bool Listener::resolveOldestUnidentified(Clock::time_point deadline) {
     const auto connection = unidentified_.front().connection.lock();
     if (!connection || !connection->peer().isUnidentified()) return true;
-    if (Steady::now() < deadline) return false;
+    if (Clock::now() < deadline) return false;
     connection->expireJoinDeadline();
     return true;
 }
@@ -87,7 +87,7 @@
             counters_.recordIgnored(Counter::RefusedFull,
                                     "connection limit reached, new peers wait in the backlog");
             joinTimer_.cancel(); // a full listener has earlier deadlines
-            co_await sleep(acceptTimer_, Steady::time_point::max());
+            co_await sleepUntil(acceptTimer_, Clock::time_point::max());
             continue;
         }
         boost::system::error_code error;
@@ -95,7 +95,7 @@
         if (stopped_) co_return;
         if (error) {
             counters_.recordIgnored(Counter::RefusedFull, error.message());
-            co_await sleep(acceptTimer_, Steady::now() + kAcceptRetryDelay);
+            co_await sleepUntil(acceptTimer_, Clock::now() + kAcceptRetryDelay);
             continue;
         }
         addPeer(std::move(socket));
@@ -108,7 +108,7 @@
         std::make_shared<Connection>(std::move(socket), counters_, pushBlocks_, readBuffer_, maxQueuedBytes_);
     const auto position = peers_.insert(peers_.end(), connection);
     if (unidentified_.empty()) joinTimer_.cancel(); // it was waiting without a deadline
-    unidentified_.push_back({Steady::now(), connection});
+    unidentified_.push_back({Clock::now(), connection});
     connection->start(makePeer_(*connection), [this, self = shared_from_this(), position] {
         peers_.erase(position);
         acceptTimer_.cancel();
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -43,16 +43,16 @@
     std::size_t peers() const { return peers_.size(); }
 
 private:
-    using Steady = std::chrono::steady_clock;
+    using Clock = std::chrono::steady_clock;
     struct UnidentifiedPeer {
-        Steady::time_point acceptedAt;
+        Clock::time_point acceptedAt;
         std::weak_ptr<Connection> connection;
     };
 
     boost::asio::awaitable<void> accept();
     boost::asio::awaitable<void> enforceJoinDeadlines();
-    bool settleOldest(Steady::time_point deadline);
-    boost::asio::awaitable<void> sleep(boost::asio::steady_timer& timer, Steady::time_point until);
+    bool resolveOldestUnidentified(Clock::time_point deadline);
+    boost::asio::awaitable<void> sleepUntil(boost::asio::steady_timer& timer, Clock::time_point until);
     void spawn(boost::asio::awaitable<void> work);
     void addPeer(boost::asio::ip::tcp::socket socket);
     bool full() const { return peers_.size() >= maxPeers_; }
--- a/tests/line_framer_test.cpp
+++ b/tests/line_framer_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr auto maxLineBytes = [] { return kMaxLineBytes; };
 
-RC_GTEST_PROP(LineFramerTest, LinesDoNotDependOnHowTheInputIsCut, ()) {
+RC_GTEST_PROP(LineFramerTest, LinesDoNotDependOnInputFragmentation, ()) {
     BufferPool pool(8);
     std::string input;
     std::vector<std::string> expected;
@@ -32,10 +32,10 @@
         RC_ASSERT(framer.feed(piece, maxLineBytes, handleLine) == LineFramer::Outcome::Going);
     });
     RC_ASSERT(framed == expected);
-    RC_ASSERT(pool.leased() == 1U);
+    RC_ASSERT(pool.leasedCount() == 1U);
 }
 
-TEST(LineFramerTest, RejectsAnEndlessLineAndReturnsItsBuffers) {
+TEST(LineFramerTest, RejectsOverlongLinesAndReturnsTheirBuffers) {
     BufferPool pool(300);
     BufferPool small(2);
     const std::string block(kBlockBytes, 'x');
@@ -48,7 +48,7 @@
     };
     EXPECT_EQ(outcome(pool), LineFramer::Outcome::TooLong);
     EXPECT_EQ(outcome(small), LineFramer::Outcome::OutOfBuffers);
-    EXPECT_EQ(pool.leased() + small.leased(), 0U);
+    EXPECT_EQ(pool.leasedCount() + small.leasedCount(), 0U);
 }
 
 } // namespace
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -31,7 +31,7 @@
     }
 };
 
-TEST_F(ListenerTest, UnidentifiedPeersMakeRoomForAProxy) {
+TEST_F(ListenerTest, AdmitsAProxyWhenUnidentifiedPeersFillTheListener) {
     using boost::asio::ip::tcp;
     const auto listener = listen(3);
     std::vector<tcp::socket> peers;
@@ -47,7 +47,7 @@
 
 /// Regression: peers that sent nothing, half a message or only a health check kept their connections
 /// indefinitely.
-TEST_F(ListenerTest, ClosesPeersThatMissTheJoinDeadlineOnly) {
+TEST_F(ListenerTest, ClosesOnlyPeersThatMissTheJoinDeadline) {
     using boost::asio::ip::tcp;
     const auto listener = listen(9);
     acceptor.startServing();
@@ -58,10 +58,10 @@
     }
     while (counters.of(Counter::Closed) < 3 && io.run_one_for(10s)) {}
     for (const int k : {0, 1, 2}) {
-        std::string got;
+        std::string received;
         boost::system::error_code error;
-        boost::asio::read(peers[static_cast<std::size_t>(k)], boost::asio::dynamic_buffer(got), error);
-        EXPECT_EQ(got.substr(k == 2 ? 7 : 0, 6), "error ") << got;
+        boost::asio::read(peers[static_cast<std::size_t>(k)], boost::asio::dynamic_buffer(received), error);
+        EXPECT_EQ(received.substr(k == 2 ? 7 : 0, 6), "error ") << received;
     }
     io.run_for(50ms);
     EXPECT_EQ(counters.of(Counter::Closed), 3U);
--- a/tests/resource_budget_test.cpp
+++ b/tests/resource_budget_test.cpp
@@ -9,7 +9,7 @@
 
 /// Regression: with a limit of 256 descriptors, half of them were not available to peers, although every
 /// proxy may connect to the same planner.
-TEST(ResourceBudgetTest, HasAConnectionForEveryProxyAndBoundsMemory) {
+TEST(ResourceBudgetTest, ReservesAConnectionForEveryProxyAndBoundsBufferMemory) {
     for (const std::size_t sockets : {256U, 512U, 1024U})
         for (const std::size_t memory : {32U, 48U, 192U}) {
             const ResourceBudget budget = divideLimits(sockets, memory, 200, 3);
