--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -31,6 +31,8 @@
     }
 };
 
+/// Peers that never identify themselves fill the listener while a proxy waits in the backlog. The shorter
+/// join timeout of a full listener must close them, so that the proxy is accepted.
 TEST_F(ListenerTest, AdmitsAProxyWhenUnidentifiedPeersFillTheListener) {
     using boost::asio::ip::tcp;
     const auto listener = listen(3);
