--- a/src/client/subscription.cpp
+++ b/src/client/subscription.cpp
@@ -15,12 +15,14 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kWelcomeTimeout = 3s;      // from the greeting; the lease is not known before the welcome
-constexpr int kHeartbeatsBeforeRequest = 3; // without progress, before a snapshot is requested
+/// Stands in for the lease duration until the welcome, which announces it.
+constexpr Micros kWelcomeTimeout = 3s;
+/// A snapshot of a lagging topic is requested after this number of heartbeats without progress.
+constexpr int kHeartbeatsBeforeRequest = 3;
 
 } // namespace
 
-// The first row that matches applies; an event without a row changes nothing.
+// The first matching row applies. An event without a matching row has no effect.
 const Subscription::Transition Subscription::kTransitions[] = {
     {State::Disconnected, Event::Connected, State::Greeting, Effect::SendHello},
     {State::Disconnected, Event::ConnectionClosed, State::Disconnected, Effect::Nothing},
@@ -48,12 +50,13 @@
     {State::Behind, Event::Applied, State::Behind, Effect::Acknowledge},
     {State::Behind, Event::PartReceived, State::Behind, Effect::AcknowledgePart},
     {State::Behind, Event::Duplicate, State::Behind, Effect::Acknowledge},
-    // A snapshot was requested already; a heartbeat shows if the request was lost.
+    // A snapshot has already been requested. If the request was lost, a later heartbeat detects it.
     {State::Behind, Event::Gap, State::Behind, Effect::Nothing},
     {State::Behind, Event::HeartbeatCurrent, State::Live, Effect::Nothing},
     {State::Behind, Event::HeartbeatPending, State::Behind, Effect::Nothing},
     {State::Behind, Event::HeartbeatBehind, State::Behind, Effect::RequestSnapshots},
-    {State::Any, Event::Welcomed, State::Disconnected, Effect::Close}, // a second one, or before the greeting
+    // A second welcome, or one before the greeting.
+    {State::Any, Event::Welcomed, State::Disconnected, Effect::Close},
     {State::Any, Event::Gap, State::Any, Effect::Nothing},
 };
 
@@ -72,7 +75,7 @@
     lastError_.clear();
     lags_.clear();
     std::string reply;
-    handle(Event::Connected, {}, reply);
+    handleEvent(Event::Connected, {}, reply);
     return reply;
 }
 
@@ -80,9 +83,9 @@
     std::string reply;
     now_ = now;
     if (!bytes.empty()) lastReceivedAt_ = now;
-    const auto handleFrame = [&](Frame& frame) { return handle(eventOf(frame), frame, reply); };
+    const auto handleFrame = [&](Frame& frame) { return handleEvent(processFrame(frame), frame, reply); };
     const auto fault = reader_.feed(bytes, handleFrame);
-    if (fault && usable()) handle(protocolError(*fault), {}, reply);
+    if (fault && usable()) handleEvent(protocolError(*fault), {}, reply);
     if (!reply.empty()) lastSentAt_ = now;
     return reply;
 }
@@ -93,7 +96,7 @@
     if (now - lastReceivedAt_ > leaseDuration_) {
         lastError_ = "the planner has been silent";
         std::string noReply;
-        handle(Event::LeaseExpired, {}, noReply);
+        handleEvent(Event::LeaseExpired, {}, noReply);
         return {};
     }
     if (state_ == State::Greeting || now - lastSentAt_ < heartbeatInterval_) return {};
@@ -117,10 +120,10 @@
 
 void Subscription::connectionClosed() {
     std::string noReply;
-    handle(Event::ConnectionClosed, {}, noReply);
+    handleEvent(Event::ConnectionClosed, {}, noReply);
 }
 
-Subscription::Event Subscription::eventOf(const Frame& frame) {
+Subscription::Event Subscription::processFrame(const Frame& frame) {
     switch (frame.type) {
     case FrameType::Welcome: return Event::Welcomed;
     case FrameType::Refused:
@@ -128,7 +131,7 @@
     case FrameType::Beat: return checkHeartbeat(frame);
     case FrameType::Snapshot:
     case FrameType::Changes: return applyToReplica(frame);
-    default: ++frameCounts_.skipped; return Event::UnknownFrame; // of a later version of the protocol
+    default: ++frameCounts_.skipped; return Event::UnknownFrame; // from a later protocol version
     }
 }
 
@@ -165,8 +168,9 @@
     return topicsToRequest_.empty() ? Event::HeartbeatPending : Event::HeartbeatBehind;
 }
 
-/// Recovers from messages that were lost without a later one that would show the gap: what is missing and has made no
-/// progress for some heartbeats is requested. What still makes progress is only slow.
+/// Recovers from lost messages that no later message follows, so that no gap shows. A snapshot is requested
+/// of each topic whose position has not advanced for kHeartbeatsBeforeRequest heartbeats. A topic that still
+/// advances is merely slow.
 void Subscription::updateLags(const std::vector<TopicId>& behind) {
     std::map<TopicId, Lag> lags;
     topicsToRequest_.clear();
@@ -184,14 +188,14 @@
     lags_ = std::move(lags);
 }
 
-bool Subscription::handle(Event event, const Frame& frame, std::string& reply) {
+bool Subscription::handleEvent(Event event, const Frame& frame, std::string& reply) {
     const auto* const row = std::ranges::find_if(kTransitions, [&](const Transition& candidate) {
         return candidate.event == event && (candidate.state == state_ || candidate.state == State::Any);
     });
     if (row == std::end(kTransitions)) return usable();
     const State before = state_;
     if (row->next != State::Any) state_ = row->next;
-    if (!perform(row->effect, frame, reply)) {
+    if (!performEffect(row->effect, frame, reply)) {
         state_ = State::Disconnected;
         return false;
     }
@@ -203,7 +207,7 @@
     return usable();
 }
 
-bool Subscription::perform(Effect effect, const Frame& frame, std::string& reply) {
+bool Subscription::performEffect(Effect effect, const Frame& frame, std::string& reply) {
     switch (effect) {
     case Effect::Nothing: return true;
     case Effect::SendHello: reply += encodeHello(); return true;
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr auto kMinLogInterval = std::chrono::seconds(1); // for each counter
-constexpr std::size_t kMaxDetailLength = 120;             // peers choose the text
+constexpr auto kMinLogInterval = std::chrono::seconds(1); // per counter
+constexpr std::size_t kMaxDetailLength = 120;             // in bytes; peers determine the text
 
 constexpr std::string_view kNames[] = {"accepted",
                                        "closed",
@@ -75,9 +75,9 @@
     add(counter);
     constexpr std::chrono::steady_clock::time_point kNever{};
     const auto now = std::chrono::steady_clock::now();
-    auto& loggedAt = loggedAt_[indexOf(counter)];
-    if (loggedAt != kNever && now - loggedAt < kMinLogInterval) return;
-    loggedAt = now;
+    auto& lastLoggedAt = lastLoggedAt_[indexOf(counter)];
+    if (lastLoggedAt != kNever && now - lastLoggedAt < kMinLogInterval) return;
+    lastLoggedAt = now;
     log::warn(
         "passed_over",
         {{"kind", nameOf(counter)}, {"so_far", of(counter)}, {"detail", detail.substr(0, kMaxDetailLength)}});
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -15,9 +15,9 @@
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
-constexpr auto kAcceptRetryDelay = 50ms; // after an error of the system, mostly a lack of descriptors
-constexpr std::chrono::steady_clock::duration kJoinTimeout = 1s;          // ample for a proxy or a collector
-constexpr std::chrono::steady_clock::duration kJoinTimeoutIfFull = 100ms; // while others wait to be accepted
+constexpr auto kAcceptRetryDelay = 50ms; // after a system error, usually a lack of file descriptors
+constexpr std::chrono::steady_clock::duration kJoinTimeout = 1s; // far more than a proxy or a collector needs
+constexpr std::chrono::steady_clock::duration kJoinTimeoutIfFull = 100ms; // while others may be waiting
 
 } // namespace
 
@@ -44,38 +44,39 @@
     acceptor_.close(ignored);
     acceptTimer_.cancel();
     joinTimer_.cancel();
-    for (const auto& peer : peers_) peer->end("the listener stops");
+    for (const auto& peer : peers_) peer->end("listener stopped");
 }
 
-asio::awaitable<void> Listener::sleep(asio::steady_timer& timer, Steady::time_point until) {
+asio::awaitable<void> Listener::sleepUntil(asio::steady_timer& timer, Clock::time_point until) {
     boost::system::error_code ignored;
     timer.expires_at(until);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-/// Peers that send nothing, half a message or only a health check would hold their places for ever. Each has a time
-/// to identify itself, a shorter one while others wait to be accepted.
+/// Closes peers that do not identify themselves in time. Otherwise peers that send nothing, half a message or
+/// only a health check would occupy their connections forever. The time limit is shorter while the listener
+/// is full.
 asio::awaitable<void> Listener::enforceJoinDeadlines() {
     while (!stopped_) {
         if (unidentified_.empty()) {
-            co_await sleep(joinTimer_, Steady::time_point::max());
+            co_await sleepUntil(joinTimer_, Clock::time_point::max());
             continue;
         }
         const auto timeout = full() ? kJoinTimeoutIfFull : kJoinTimeout;
         const auto deadline = unidentified_.front().acceptedAt + timeout;
-        if (settleOldest(deadline))
+        if (resolveOldestUnidentified(deadline))
             unidentified_.pop_front();
         else
-            co_await sleep(joinTimer_, deadline);
+            co_await sleepUntil(joinTimer_, deadline);
     }
 }
 
-/// False: the oldest unidentified peer has time left. A function of its own, so that the connection is not kept
-/// alive while the deadline is waited for.
-bool Listener::settleOldest(Steady::time_point deadline) {
+/// Returns whether the oldest entry of `unidentified_` can be removed, after closing the peer if its deadline
+/// has passed. A separate function, so that the coroutine does not keep the connection alive while it waits.
+bool Listener::resolveOldestUnidentified(Clock::time_point deadline) {
     const auto connection = unidentified_.front().connection.lock();
     if (!connection || !connection->peer().isUnidentified()) return true;
-    if (Steady::now() < deadline) return false;
+    if (Clock::now() < deadline) return false;
     connection->expireJoinDeadline();
     return true;
 }
@@ -83,9 +84,10 @@
 asio::awaitable<void> Listener::accept() {
     while (!stopped_) {
         if (full()) {
-            counters_.recordIgnored(Counter::RefusedFull, "peers wait to be taken");
-            joinTimer_.cancel(); // the deadlines are earlier now
-            co_await sleep(acceptTimer_, Steady::time_point::max());
+            counters_.recordIgnored(Counter::RefusedFull,
+                                    "connection limit reached, new peers wait in the backlog");
+            joinTimer_.cancel(); // a full listener has earlier deadlines
+            co_await sleepUntil(acceptTimer_, Clock::time_point::max());
             continue;
         }
         boost::system::error_code error;
@@ -93,7 +95,7 @@
         if (stopped_) co_return;
         if (error) {
             counters_.recordIgnored(Counter::RefusedFull, error.message());
-            co_await sleep(acceptTimer_, Steady::now() + kAcceptRetryDelay);
+            co_await sleepUntil(acceptTimer_, Clock::now() + kAcceptRetryDelay);
             continue;
         }
         addPeer(std::move(socket));
@@ -105,8 +107,8 @@
     const auto connection =
         std::make_shared<Connection>(std::move(socket), counters_, pushBlocks_, readBuffer_, maxQueuedBytes_);
     const auto position = peers_.insert(peers_.end(), connection);
-    if (unidentified_.empty()) joinTimer_.cancel(); // nobody was waited for
-    unidentified_.push_back({Steady::now(), connection});
+    if (unidentified_.empty()) joinTimer_.cancel(); // it was waiting without a deadline
+    unidentified_.push_back({Clock::now(), connection});
     connection->start(makePeer_(*connection), [this, self = shared_from_this(), position] {
         peers_.erase(position);
         acceptTimer_.cancel();
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -1,4 +1,4 @@
-// The listener with the platform protocol: who loses a connection, and when.
+// Tests which connections a listener with the platform protocol closes, and when.
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/read.hpp>
 #include <boost/asio/write.hpp>
@@ -31,7 +31,9 @@
     }
 };
 
-TEST_F(ListenerTest, UnidentifiedPeersMakeRoomForAProxy) {
+/// Peers that never identify themselves fill the listener while a proxy waits in the backlog. The shorter
+/// join timeout of a full listener must close them, so that the proxy is accepted.
+TEST_F(ListenerTest, AdmitsAProxyWhenUnidentifiedPeersFillTheListener) {
     using boost::asio::ip::tcp;
     const auto listener = listen(3);
     std::vector<tcp::socket> peers;
@@ -40,12 +42,14 @@
     const auto start = std::chrono::steady_clock::now();
     while (planner.received.empty() && io.run_one_for(10s)) {}
     EXPECT_EQ(planner.received, std::vector<std::string>{"joined 17 zone 1 fresh"});
-    EXPECT_LT(std::chrono::steady_clock::now() - start, 900ms); // less than a join deadline
+    // A listener that is not full closes unidentified peers only after 1 s.
+    EXPECT_LT(std::chrono::steady_clock::now() - start, 900ms);
     EXPECT_GE(counters.of(Counter::RefusedStranger), 3U);
 }
 
-/// Regression: peers that sent nothing, half a message or only a probe kept their connections.
-TEST_F(ListenerTest, ClosesPeersThatMissTheJoinDeadlineOnly) {
+/// Regression: peers that sent nothing, half a message or only a health check kept their connections
+/// indefinitely.
+TEST_F(ListenerTest, ClosesOnlyPeersThatMissTheJoinDeadline) {
     using boost::asio::ip::tcp;
     const auto listener = listen(9);
     acceptor.startServing();
@@ -56,10 +60,10 @@
     }
     while (counters.of(Counter::Closed) < 3 && io.run_one_for(10s)) {}
     for (const int k : {0, 1, 2}) {
-        std::string got;
+        std::string received;
         boost::system::error_code error;
-        boost::asio::read(peers[static_cast<std::size_t>(k)], boost::asio::dynamic_buffer(got), error);
-        EXPECT_EQ(got.substr(k == 2 ? 7 : 0, 6), "error ") << got;
+        boost::asio::read(peers[static_cast<std::size_t>(k)], boost::asio::dynamic_buffer(received), error);
+        EXPECT_EQ(received.substr(k == 2 ? 7 : 0, 6), "error ") << received;
     }
     io.run_for(50ms);
     EXPECT_EQ(counters.of(Counter::Closed), 3U);
