--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -14,25 +14,27 @@
 
 namespace {
 
-constexpr std::size_t kMaxFileBytes = 16 * 1024 * 1024; // the largest endpoint lists have some megabytes
+constexpr std::size_t kMaxFileBytes = 16 * 1024 * 1024; // the largest endpoint lists take a few megabytes
 constexpr double kMicrosPerSecond = 1e6;
-constexpr double kMinHeartbeatsPerLease = 2; // one lost heartbeat may not end a lease
+constexpr double kMinHeartbeatsPerLease = 2; // one lost heartbeat must not end a lease
 
-double secondsOr(Micros absent, const json::Value& value) {
-    return value.is_number() ? value.get<double>() : static_cast<double>(absent.count()) / kMicrosPerSecond;
+/// The value, which is in seconds, or the default in seconds if the value is absent.
+double secondsOr(Micros defaultValue, const json::Value& value) {
+    return value.is_number() ? value.get<double>()
+                             : static_cast<double>(defaultValue.count()) / kMicrosPerSecond;
 }
 
-/// What the schema can't express. The tree already conforms to it.
+/// Checks what the schema cannot express. `pubsub` already conforms to the schema.
 std::vector<json::ValidationError> findPubsubErrors(const json::Value& pubsub) {
     std::vector<json::ValidationError> errors;
     const auto* listen = json::textOf(pubsub, "listen");
     if (listen && !net::parseAddress(*listen))
-        errors.push_back({"/channel/listen", "no address: '" + *listen + "'"});
+        errors.push_back({"/channel/listen", "not an IP address and port: '" + *listen + "'"});
     const PubsubConfig defaults;
     const double heartbeatInterval = secondsOr(defaults.heartbeatInterval, json::member(pubsub, "beat_s"));
     const double leaseDuration = secondsOr(defaults.leaseDuration, json::member(pubsub, "lease_s"));
     if (leaseDuration < kMinHeartbeatsPerLease * heartbeatInterval)
-        errors.push_back({"/channel/lease_s", "a lease shorter than two beats"});
+        errors.push_back({"/channel/lease_s", "must be at least twice beat_s"});
     return errors;
 }
 
@@ -42,7 +44,8 @@
     return findPubsubErrors(json::member(root, "channel"));
 }
 
-/// Sets the field from a member of the object; an absent member leaves it as it is. Durations are in seconds.
+/// Sets the field from a member of the object; if the member is absent, the field keeps its value. Durations
+/// are in seconds.
 template <class T>
 void readMember(const json::Value& object, const char* name, T& field) {
     const json::Value& value = json::member(object, name);
@@ -86,14 +89,14 @@
 
 std::string readFile(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
-    if (!file) throw InputError::inDocument(path, "can't be read");
+    if (!file) throw InputError::inDocument(path, "cannot be read");
     try {
         std::string bytes{std::istreambuf_iterator<char>(file), {}};
         if (bytes.size() <= kMaxFileBytes) return bytes;
-    } catch (const std::ios_base::failure&) { // a folder, for example
-        throw InputError::inDocument(path, "can't be read");
+    } catch (const std::ios_base::failure&) { // a directory, for example
+        throw InputError::inDocument(path, "cannot be read");
     }
-    throw InputError::inDocument(path, "too large");
+    throw InputError::inDocument(path, "larger than " + std::to_string(kMaxFileBytes) + " bytes");
 }
 
 std::vector<json::ValidationError> findOperatorConfigErrors(std::string_view text) {
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::string_view kDocument = "start terms"; // as it stands in messages
-constexpr double kMaxNumber = 1e12;                   // seconds of that size still fit into Micros
+constexpr std::string_view kDocument = "start terms"; // the name of the settings in messages
+constexpr double kMaxNumber = 1e12;                   // as seconds, it still fits into Micros
 constexpr double kMicrosPerSecond = 1e6;
 
 double parseNumber(const std::string& path, const std::string& value) {
@@ -17,24 +17,24 @@
     const auto [end, error] = std::from_chars(value.data(), valueEnd, number);
     const bool isNumber = error == std::errc{} && end == valueEnd && std::isfinite(number);
     if (!isNumber || number < 0 || number > kMaxNumber)
-        throw settingsError(path + " is no usable number: '" + value + "'", path);
+        throw settingsError(path + " is not a number from 0 to 1e12: '" + value + "'", path);
     return number;
 }
 
 Micros toMicros(double seconds) { return Micros(std::llround(seconds * kMicrosPerSecond)); }
 
 std::vector<std::string> splitAtCommas(const std::string& text) {
-    std::vector<std::string> words;
-    if (text.empty()) return words;
+    std::vector<std::string> items;
+    if (text.empty()) return items;
     std::size_t start = 0;
     std::size_t comma = text.find(',');
     while (comma != std::string::npos) {
-        words.push_back(text.substr(start, comma - start));
+        items.push_back(text.substr(start, comma - start));
         start = comma + 1;
         comma = text.find(',', start);
     }
-    words.push_back(text.substr(start));
-    return words;
+    items.push_back(text.substr(start));
+    return items;
 }
 
 } // namespace
@@ -50,7 +50,7 @@
 
 const std::string& SettingsReader::text(const std::string& path) const {
     const auto* value = find(path);
-    if (!value) throw settingsError("the required term " + path + " is missing", path);
+    if (!value) throw settingsError("the required setting " + path + " is missing", path);
     return *value;
 }
 
@@ -68,7 +68,10 @@
 std::uint32_t SettingsReader::count(const std::string& path, double maximum) const {
     const double value = number(path);
     if (value > maximum || value != std::floor(value))
-        throw settingsError(path + " is no count up to " + std::to_string(maximum), path);
+        throw settingsError(path + " is not a whole number from 0 to " +
+                                std::to_string(static_cast<std::uint64_t>(maximum)) + ": '" + text(path) +
+                                "'",
+                            path);
     return static_cast<std::uint32_t>(value);
 }
 
@@ -92,9 +95,9 @@
     return value == "true";
 }
 
-void SettingsReader::noteUnknownWord(const std::string& path, std::string_view word) {
-    notices_.push_back(std::string(kDocument) + ": " + path + " has a word that is not known: '" +
-                       std::string(word) + "'");
+void SettingsReader::noteUnknownKeyword(const std::string& path, std::string_view keyword) {
+    notices_.push_back(std::string(kDocument) + ": " + path + " has the unknown value '" +
+                       std::string(keyword) + "'");
 }
 
 } // namespace zincstack::config
--- a/src/config/start_file.cpp
+++ b/src/config/start_file.cpp
@@ -23,15 +23,16 @@
 
 const std::string& requireText(const json::Value& object, const char* name) {
     const auto* text = json::textOf(object, name);
-    if (!text || text->empty()) throw startFileError(name, "missing or no text");
+    if (!text || text->empty()) throw startFileError(name, "missing or not a non-empty string");
     return *text;
 }
 
-std::uint32_t limitOr(std::uint32_t absent, const json::Value& limits, const char* name) {
+std::uint32_t limitOr(std::uint32_t defaultValue, const json::Value& limits, const char* name) {
     const json::Value& value = json::member(limits, name);
-    if (value.is_null()) return absent;
+    if (value.is_null()) return defaultValue;
     if (!value.is_number_unsigned() || value.get<std::uint64_t>() > std::numeric_limits<std::uint32_t>::max())
-        throw startFileError("limits." + std::string(name), "no whole number: '" + value.dump() + "'");
+        throw startFileError("limits." + std::string(name),
+                             "not a whole number of at most 32 bits: '" + value.dump() + "'");
     return value.get<std::uint32_t>();
 }
 
@@ -40,11 +41,12 @@
     const char* const textEnd = text.data() + text.size();
     const auto [end, error] = std::from_chars(text.data(), textEnd, seed, kSeedBase);
     if (error != std::errc{} || end != textEnd)
-        throw startFileError("seed", "no whole number: '" + text + "'");
+        throw startFileError("seed", "not a hexadecimal number of at most 64 bits: '" + text + "'");
     return seed;
 }
 
-/// A scalar as the simulator's start text has it: without the characters that separate there.
+/// A scalar in the format of the simulator's start text: its separators (space, comma, line feed) are
+/// replaced by '_'.
 std::string scalarText(const json::Value& value) {
     const auto* string = value.get_ptr<const std::string*>();
     std::string text = string ? *string : value.dump();
@@ -96,7 +98,7 @@
     file.memoryMegabytes = limitOr(file.memoryMegabytes, limits, "memory_mb");
     file.cachedEndpoints = json::member(root, "known");
     const json::Value& settings = json::member(root, "settings");
-    if (!settings.is_object()) throw startFileError("settings", "missing or no object");
+    if (!settings.is_object()) throw startFileError("settings", "missing or not an object");
     flatten(settings, "", file.settings);
     return file;
 }
@@ -106,7 +108,7 @@
     if (!path || !*path) throw environmentError("PROXY_CONFIG is not set");
     std::ifstream file(path, std::ios::binary);
     if (!file)
-        throw environmentError("PROXY_CONFIG names a file that can't be read: '" + std::string(path) + "'");
+        throw environmentError("PROXY_CONFIG names a file that cannot be read: '" + std::string(path) + "'");
     const std::string text{std::istreambuf_iterator<char>(file), {}};
     return parseStartFile(text);
 }
--- a/src/config/start_settings.cpp
+++ b/src/config/start_settings.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxZones = 255; // what FleetConfig::zoneCount holds
+constexpr std::size_t kMaxZones = 255; // largest value of FleetConfig::zoneCount
 constexpr double kMaxPlanners = 1e6;
-constexpr double kMaxProxies = 65536;     // what ProxyId holds
-constexpr double kMaxRequestClasses = 16; // what RequestClassSet holds
-constexpr std::size_t kMaxQuotedLine = 60;
+constexpr double kMaxProxies = 65536;           // number of values of ProxyId
+constexpr double kMaxRequestClasses = 16;       // capacity of RequestClassSet
+constexpr std::size_t kMaxQuotedLineBytes = 60; // of an invalid line, in an error message
 
 FleetConfig readFleet(const SettingsReader& reader, std::size_t zones) {
     FleetConfig fleet;
@@ -30,9 +30,9 @@
     ProxyFleetConfig proxies;
     proxies.proxyCount = reader.count("Extra.DataPlaneSize", kMaxProxies);
     proxies.bootstrapTableSize = static_cast<std::uint32_t>(reader.numberOrZero("Extra.Standing"));
-    if (const auto* word = reader.find("Extra.ThrottleBy"))
-        proxies.throttleMode = reader.translate<ThrottleMode>(
-            "Extra.ThrottleBy", *word,
+    if (const auto* keyword = reader.find("Extra.ThrottleBy"))
+        proxies.throttleMode = reader.mapKeyword<ThrottleMode>(
+            "Extra.ThrottleBy", *keyword,
             {{"ratio", ThrottleMode::Fraction}, {"rps", ThrottleMode::Rate}, {"none", ThrottleMode::None}},
             ThrottleMode::None);
     return proxies;
@@ -62,28 +62,28 @@
     return limits;
 }
 
-/// The settings of one class, but for those that stand in lists over all classes.
+/// Reads the settings of one request class, except those that are lists with an item for each class.
 RequestClassConfig readRequestClass(SettingsReader& reader, const std::string& path) {
     RequestClassConfig requestClass;
     requestClass.latencyObjective = reader.duration(path + "AimS");
     requestClass.deadline = reader.duration(path + "DeadlineS");
     requestClass.priorityWeight = reader.number(path + "Worth");
     requestClass.latePriorityWeight = reader.numberOrZero(path + "LateWorth");
-    // Where it is absent or not known a request may have had an effect, so it is never sent twice.
+    // If the setting is absent or unknown, a request may have had an effect, so it must not be sent twice.
     const auto* effect = reader.find(path + "Effect");
     requestClass.idempotency =
-        reader.translate<Idempotency>(path + "Effect", effect ? *effect : std::string_view{},
-                                      {{"retryable", Idempotency::Idempotent},
-                                       {"dedup", Idempotency::IdempotencyKeyed},
-                                       {"fragile", Idempotency::NonIdempotent}},
-                                      Idempotency::NonIdempotent);
+        reader.mapKeyword<Idempotency>(path + "Effect", effect ? *effect : std::string_view{},
+                                       {{"retryable", Idempotency::Idempotent},
+                                        {"dedup", Idempotency::IdempotencyKeyed},
+                                        {"fragile", Idempotency::NonIdempotent}},
+                                       Idempotency::NonIdempotent);
     return requestClass;
 }
 
 void readRequestClasses(SettingsReader& reader, StartSettings& settings) {
     const auto classCount = reader.count("Classes.count", kMaxRequestClasses);
     if (classCount == 0)
-        throw settingsError("Classes.count is 0, and a planner needs a product", "Classes.count");
+        throw settingsError("Classes.count is 0; at least one request class is required", "Classes.count");
     const auto zoneLocal = reader.list("Extra.ZoneBound");
     const auto writes = reader.list("Extra.ClassWrites");
     for (std::uint32_t index = 0; index < classCount; ++index) {
@@ -110,7 +110,7 @@
         if (line.empty()) continue;
         const auto equals = line.find('=');
         if (equals == std::string_view::npos)
-            throw settingsError("no '=' in line '" + std::string(line.substr(0, kMaxQuotedLine)) + "'");
+            throw settingsError("no '=' in line '" + std::string(line.substr(0, kMaxQuotedLineBytes)) + "'");
         settings.emplace(line.substr(0, equals), line.substr(equals + 1));
     }
     return settings;
--- a/src/config/start_settings.h
+++ b/src/config/start_settings.h
@@ -1,5 +1,6 @@
-// The settings that a planner starts with, in the types of planner.h. The words and units of the settings are known
-// in this module only. They come as flat pairs from a start file or from the simulator's start text.
+// The settings that a planner starts with, converted to the types of planner.h. They arrive as path=value
+// pairs from a start file or from the simulator's start text; only this module knows their names, keywords
+// and units.
 #pragma once
 
 #include <string>
@@ -11,27 +12,29 @@
 
 namespace zincstack::config {
 
-/// Splits a text of path=value lines. Throws InputError where a line has no '='.
+/// Splits a text of path=value lines. Throws InputError if a non-empty line has no '='.
 FlatSettings splitText(std::string_view text);
 
+/// All settings that a planner starts with.
 struct StartSettings {
     FleetConfig fleet;
     ProxyFleetConfig proxies;
     ControlChannelLimits controlChannel;
     SafetyLimits safetyLimits;
     std::vector<RequestClassConfig> requestClasses;
-    std::vector<std::string> requestClassNames; ///< one for each of the classes
+    std::vector<std::string> requestClassNames; ///< in the order of requestClasses
     std::vector<std::string> zoneNames;
-    std::vector<std::string> reportColumns; ///< columns of the load reports on the simulator's wire
-    Micros tick{};                          ///< the shortest gap between decisions
-    Micros connectTimeout{};                ///< of health checks; zero: not set
-    std::vector<std::string> notices;       ///< words that are not known, one line each
+    std::vector<std::string> reportColumns; ///< of load reports in the simulator's protocol
+    Micros tick{};                          ///< minimum interval between decisions
+    Micros connectTimeout{};                ///< of health checks; zero: not configured
+    std::vector<std::string> notices;       ///< one line for each unknown keyword
 };
 
-/// Throws InputError, naming the setting, where one is missing or can't be used.
+/// Throws InputError, which names the setting, if a required setting is missing or a value is invalid.
 StartSettings readStartSettings(const FlatSettings& settings);
 
-/// Sets the field of a load report that has this name on either wire; other names are ignored.
+/// Sets the field of a load report that has this name in the platform's or the simulator's protocol. Other
+/// names are ignored.
 void setLoadField(std::string_view name, double value, LoadReport& report);
 
 } // namespace zincstack::config
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -19,7 +19,7 @@
 
 int execute(const command::Command& chosen, command::SignalMask& signals) {
     if (const auto* run = std::get_if<command::RunOptions>(&chosen)) return command::run(*run, signals);
-    signals.unblock(); // the other commands leave the signals to their defaults or handle them at once
+    signals.unblock(); // the other commands use the default actions or install their own handlers
     if (const auto* check = std::get_if<command::CheckOptions>(&chosen))
         return command::check(*check, std::cout);
     if (const auto* subscribe = std::get_if<command::SubscribeOptions>(&chosen))
--- a/tests/start_file_test.cpp
+++ b/tests/start_file_test.cpp
@@ -1,4 +1,4 @@
-// The start file.
+// Parsing of the start file.
 #include <gtest/gtest.h>
 
 #include <string>
--- a/tests/start_settings_test.cpp
+++ b/tests/start_settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings of the start text: what is read, and messages on what is missing or unusable.
+// Settings read from a start text, and the error messages for missing and invalid ones.
 #include <gtest/gtest.h>
 
 #include "config/start_settings.h"
@@ -18,7 +18,7 @@
 
 StartSettings readStartText(std::string_view text) { return readStartSettings(splitText(text)); }
 
-TEST(StartSettings, SettingsAreReadAndErrorsNameTheKey) {
+TEST(StartSettings, SettingsAreReadAndErrorsNameTheSetting) {
     const auto start = readStartText(kStartText);
     EXPECT_EQ(start.requestClasses.at(0).latencyObjective, Micros(1'000'000));
     EXPECT_EQ(start.fleet.zoneCount, 2);
@@ -29,7 +29,8 @@
     };
     EXPECT_NE(errorAfter("Extra.QueueCap=14000.0\n", "").find("Extra.QueueCap is missing"),
               std::string::npos);
-    EXPECT_NE(errorAfter("14000.0", "many").find("Extra.QueueCap is no usable number"), std::string::npos);
+    EXPECT_NE(errorAfter("14000.0", "many").find("Extra.QueueCap is not a number from 0 to 1e12"),
+              std::string::npos);
     EXPECT_NE(errorAfter("Classes.count=1", "Classes.count=0").find("Classes.count"), std::string::npos);
     std::string unusual(kStartText);
     unusual.replace(unusual.find("retryable"), 9, "sometimes");
@@ -37,7 +38,7 @@
     EXPECT_EQ(readStartText(unusual).notices.size(), 1U);
     unusual.erase(unusual.find("Classes.0.Effect="), std::string_view("Classes.0.Effect=sometimes\n").size());
     EXPECT_EQ(readStartText(unusual).requestClasses.at(0).idempotency,
-              Idempotency::NonIdempotent); // absent: the same
+              Idempotency::NonIdempotent); // absent: as if unknown
     EXPECT_EQ(readStartText(unusual).notices.size(), 1U);
 }
 
--- a/tests/start_text.h
+++ b/tests/start_text.h
@@ -1,4 +1,4 @@
-// A start text as the simulator sends it to each planner, with every setting that has no default.
+// A start text in the format that the simulator sends to each planner, with every required setting.
 #pragma once
 
 #include <string_view>
