--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -15,7 +15,7 @@
 constexpr int kExitOk = 0;
 constexpr int kExitUnusableInput = 2;
 
-/// Where the schema finds nothing, the settings are read as the planner would read them.
+/// If the file conforms to the schema, the settings are also read as a planner reads them.
 std::vector<json::ValidationError> findStartFileErrors(const json::Value& root, std::string_view text) {
     auto errors = json::validate(root, config::kPostingSchema);
     if (!errors.empty()) return errors;
@@ -25,7 +25,7 @@
     return errors;
 }
 
-/// A file with settings is a start file.
+/// A file that has the member "settings" is a start file, any other an operator's file.
 std::vector<json::ValidationError> findFileErrors(const std::string& file) {
     try {
         const std::string text = config::readFile(file);
@@ -42,7 +42,7 @@
     for (const auto& file : options.files) {
         const auto errors = findFileErrors(file);
         if (errors.empty()) {
-            out << file << ": can be used\n";
+            out << file << ": valid\n";
             continue;
         }
         exitCode = kExitUnusableInput;
--- a/src/command/check.h
+++ b/src/command/check.h
@@ -1,4 +1,4 @@
-// `zincstack check`: prints every fault of start files and operator's files with its place.
+// `zincstack check`: validates start files and operator's files and prints every error with its location.
 #pragma once
 
 #include <ostream>
@@ -7,7 +7,8 @@
 
 namespace zincstack::command {
 
-/// One line for each fault: file, JSON pointer, what is wrong. The exit code: 0 where all files can be used, else 2.
+/// Prints one line for each error: file, JSON pointer, message. Returns the exit code: 0 if all files are
+/// valid, 2 otherwise.
 int check(const CheckOptions& options, std::ostream& out);
 
 } // namespace zincstack::command
--- a/src/command/command_line.h
+++ b/src/command/command_line.h
@@ -1,4 +1,4 @@
-// The command line: the subcommand that was chosen and its options.
+// Parses the command line into a subcommand and its options.
 #pragma once
 
 #include <cstdint>
@@ -9,33 +9,37 @@
 
 namespace zincstack::command {
 
+/// `zincstack run`, and `zincstack` without a subcommand.
 struct RunOptions {
-    std::string operatorFile; ///< empty: none
+    std::string operatorFile; ///< path; empty: none
 };
 
+/// `zincstack check`.
 struct CheckOptions {
-    std::vector<std::string> files;
+    std::vector<std::string> files; ///< paths of start files and operator's files
 };
 
+/// `zincstack subscribe`.
 struct SubscribeOptions {
     std::vector<std::string> planners; ///< addresses, tried in turn
     std::string zone;
-    std::optional<std::uint16_t> proxy; ///< none: watch only
-    double weight = 1;
-    bool json = false;
-    std::uint32_t changes = 0; ///< end after so many; 0: never
+    std::optional<std::uint16_t> proxy; ///< std::nullopt: subscribe as an observer
+    double weight = 1;                  ///< approximate requests per second of the proxy
+    bool json = false;                  ///< one JSON object per line; false: text
+    std::uint32_t maxChanges = 0;       ///< exit after printing this many changes; 0: never
 };
 
-/// The stand-in of discovery.
+/// `zincstack standin discovery`.
 struct StandinOptions {
-    std::string file; ///< the endpoint list, in discovery's form; read again when it changes
-    std::string listen;
+    std::string file;   ///< path of the endpoint list in discovery's format; reloaded when it changes
+    std::string listen; ///< address and port
 };
 
+/// The chosen subcommand with its options.
 using Command = std::variant<RunOptions, CheckOptions, SubscribeOptions, StandinOptions>;
 
-/// The command with its options. Where nothing is left to do (help, version, an error in the command line) it has
-/// been printed, and the exit code is returned.
+/// Returns the command with its options. For --help, --version and usage errors the text is printed, and the
+/// exit code is returned instead.
 std::variant<Command, int> parseCommandLine(int argumentCount, const char* const* arguments);
 
 } // namespace zincstack::command
--- a/src/command/config_reloader.cpp
+++ b/src/command/config_reloader.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 constexpr std::chrono::microseconds kInitialBackoff = 250ms; // doubled with each retry
-constexpr int kMaxRetries = 4; // with the backoff some 4 s, longer than any tool takes to write the file
+constexpr int kMaxRetries = 4; // 3.75 s in total, longer than any tool takes to write the file
 
 } // namespace
 
--- a/src/command/config_reloader.h
+++ b/src/command/config_reloader.h
@@ -1,4 +1,4 @@
-// Reloads one configuration file on request, with retries while the file can't be used.
+// Reloads one configuration file on request and retries if the file is invalid.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,15 +11,16 @@
 
 namespace zincstack::command {
 
-/// Runs a reload function once per request. A reload that throws is retried with exponential backoff, because the
-/// file may be absent or half written when SIGHUP arrives and no second signal may follow.
+/// Runs a reload function once per request. A reload that throws is retried a limited number of times with
+/// exponential backoff: the file may be absent or half written when SIGHUP arrives, and no second signal may
+/// follow.
 class ConfigReloader {
 public:
-    /// `name` of the file stands in the log; `reload` throws where the file can't be used.
+    /// `name` identifies the file in the log. `reload` must throw std::exception if the file is invalid.
     ConfigReloader(boost::asio::io_context& io, net::Counters& counters, std::string name,
                    std::function<void()> reload);
 
-    /// Reloads at once; pending retries of an earlier request are dropped.
+    /// Reloads immediately and cancels pending retries of an earlier request.
     void request();
 
 private:
--- a/src/command/daemon.cpp
+++ b/src/command/daemon.cpp
@@ -20,35 +20,38 @@
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
-constexpr Micros kDiscoveryGracePeriod = 500ms; // for the first endpoint list; then the cached one has to do
+constexpr Micros kDiscoveryGracePeriod = 500ms; // after it, the planner serves from the cached endpoint list
 
 asio::ip::tcp::endpoint requireAddress(std::string_view field, const std::string& text) {
     const auto address = net::parseAddress(text);
-    if (!address) throw InputError("the address " + std::string(field) + " can't be read: '" + text + "'");
+    if (!address)
+        throw InputError("the address " + std::string(field) + " is not an IP address and port: '" + text +
+                         "'");
     return *address;
 }
 
-/// The configured limit, or that of the process where it is lower.
+/// The lower of the configured limit and the limit of the process.
 std::size_t availableDescriptors(std::uint32_t configuredLimit) {
     rlimit processLimit{};
     if (getrlimit(RLIMIT_NOFILE, &processLimit) != 0) return configuredLimit;
     return std::min<std::size_t>(configuredLimit, processLimit.rlim_cur);
 }
 
-/// The descriptors left beside those of the pub-sub subscribers. Throws InputError where there are none.
-std::size_t descriptorsBesidePubsub(std::uint32_t configuredLimit,
-                                    const std::optional<config::PubsubConfig>& pubsub) {
+/// The file descriptors that remain after one for each pub-sub subscriber. Throws InputError if none remain.
+std::size_t remainingDescriptors(std::uint32_t configuredLimit,
+                                 const std::optional<config::PubsubConfig>& pubsub) {
     const std::size_t available = availableDescriptors(configuredLimit);
     const std::size_t reserved = pubsub ? pubsub->maxSubscribers : 0;
     if (reserved >= available)
-        throw InputError("/channel/subscribers: " + std::to_string(reserved) + ", and there are " +
-                         std::to_string(available) + " descriptors in all");
+        throw InputError("/channel/subscribers: " + std::to_string(reserved) +
+                         " subscribers need a file descriptor each, but only " + std::to_string(available) +
+                         " are available for all connections");
     return available - reserved;
 }
 
 net::ResourceBudget resourceBudgetOf(const DaemonConfig& config) {
     const config::StartFile& startFile = config.startFile;
-    return net::divideLimits(descriptorsBesidePubsub(startFile.maxDescriptors, config.operatorConfig.pubsub),
+    return net::divideLimits(remainingDescriptors(startFile.maxDescriptors, config.operatorConfig.pubsub),
                              startFile.memoryMegabytes, config.settings.proxies.proxyCount,
                              config.settings.zoneNames.size());
 }
@@ -65,7 +68,7 @@
     return pubsub::PubsubService::Endpoint{config.pubsub->listen, config.pubsub->maxSubscribers};
 }
 
-/// Calls `handler` for each of the signals, for as long as the loop runs.
+/// Calls `handler` each time one of the signals arrives, as long as the event loop runs.
 void handleSignals(asio::signal_set& signals, const std::function<void()>& handler) {
     signals.async_wait([&signals, handler](const boost::system::error_code& error, int) {
         if (error) return;
@@ -127,13 +130,13 @@
         log::critical("ended_by_failure", {{"what", error.what()}});
         exitCode = 1;
     }
-    signals.block(); // the loop has ended: no handler can run any more
+    signals.block(); // the event loop has ended, so no handler can run any more
     logCounters();
     if (exitCode == 0) log::info("ended_on_signal");
     return exitCode;
 }
 
-/// False where the list can't be used. With the first usable one the planner is ready to serve.
+/// Returns false if the list is invalid. After the first valid list the planner is ready to serve.
 bool Daemon::applyEndpointList(EndpointListUpdate update, const json::Value& members) {
     const bool usable = inputTranslator_.updateEndpoints(update, members);
     if (usable) sessionAcceptor_.startServing();
@@ -170,7 +173,7 @@
     discoveryDriver_.start();
 }
 
-/// Without an answer of discovery the planner becomes ready with the cached list.
+/// If discovery does not answer in time, the planner starts serving from the cached list.
 void Daemon::startReadinessTimer() {
     readinessTimer_.expires_after(kDiscoveryGracePeriod);
     readinessTimer_.async_wait([this](const boost::system::error_code& error) {
@@ -187,19 +190,20 @@
     });
 }
 
-/// Only the address of discovery can change while the planner runs.
+/// Only the address of discovery can change while the planner runs; other changed fields are ignored.
 void Daemon::reloadStartFile() {
     const config::StartFile reloaded = config::reloadStartFile();
     discoveryDriver_.move(requireAddress("discovery", reloaded.discovery), reloaded.discovery);
     log::info("reload", {{"discovery", reloaded.discovery}});
 }
 
-/// The file is used as a whole or not at all: whatever can fail comes before the first change.
+/// Applies the file completely or not at all: all steps that can fail precede the first change.
 void Daemon::reloadOperatorConfig() {
     const config::OperatorConfig reloaded = config::loadOperatorConfig(config_.operatorFile);
-    // A service that was off at the start has no share in the budget: its descriptors come on top.
+    // If the channel was off at the start, the resource budget has no descriptors for its subscribers: they
+    // come on top.
     if (reloaded.pubsub && !config_.operatorConfig.pubsub)
-        descriptorsBesidePubsub(config_.startFile.maxDescriptors, reloaded.pubsub);
+        remainingDescriptors(config_.startFile.maxDescriptors, reloaded.pubsub);
     pubsubService_.configure(pubsubEndpointOf(reloaded));
     configureLog(reloaded.log);
     const std::string channel = reloaded.pubsub ? reloaded.pubsub->listen : "off";
--- a/src/command/daemon.h
+++ b/src/command/daemon.h
@@ -1,4 +1,5 @@
-// One planner process: everything that `zincstack run` owns until SIGTERM or SIGINT.
+// One planner process: all parts that `zincstack run` creates, and the event loop that runs them until
+// SIGTERM or SIGINT.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -28,28 +29,29 @@
 
 namespace zincstack::command {
 
-/// What a planner process is started with.
+/// The configuration that a planner process is started with.
 struct DaemonConfig {
     config::StartFile startFile;
     config::StartSettings settings;
     config::OperatorConfig operatorConfig;
-    std::string operatorFile; ///< path, read again on SIGHUP; empty: none
+    std::string operatorFile; ///< path, reloaded on SIGHUP; empty: none
 };
 
 /// Owns the event loop and all parts of one planner, and connects them. Single-threaded.
 ///
-/// The members are constructed in the order of their declaration and destroyed in reverse: the buffer pools and the
-/// loop outlive whatever uses them.
+/// The order of the members matters: they are destroyed in reverse, so that the buffer pools and the event
+/// loop outlive the members that use them.
 class Daemon {
 public:
-    /// Binds the listening sockets. Throws InputError where a part of the configuration can't be used, and
-    /// boost::system::system_error where an address can't be listened on.
+    /// Binds the listening socket of the planner. Throws InputError if the configuration is invalid, and
+    /// boost::system::system_error if the address cannot be bound.
     explicit Daemon(DaemonConfig config);
     ~Daemon() = default;
     Daemon(const Daemon&) = delete;
     Daemon& operator=(const Daemon&) = delete;
 
-    /// Serves until SIGTERM or SIGINT; the exit code. `signals` are unblocked while the loop handles them.
+    /// Serves until SIGTERM or SIGINT and returns the exit code. `signals` are unblocked while the event loop
+    /// handles them.
     int run(SignalMask& signals);
 
 private:
@@ -89,7 +91,7 @@
     const std::shared_ptr<net::Listener> listener_;
     net::DiscoveryWatch discoveryWatch_;
     net::DiscoveryDriver discoveryDriver_;
-    const config::PubsubConfig pubsubConfig_; // of the start; defaults where the service was off then
+    const config::PubsubConfig pubsubConfig_; // as of the start; the defaults if the channel was off
     pubsub::PubsubService pubsubService_;
 
     boost::asio::steady_timer readinessTimer_;
@@ -97,7 +99,7 @@
     ConfigReloader operatorConfigReloader_;
 };
 
-/// Switches the log to the operator's format and level.
+/// Sets the format and the minimum level of the log.
 void configureLog(const config::LogConfig& config);
 
 } // namespace zincstack::command
--- a/src/command/run.cpp
+++ b/src/command/run.cpp
@@ -14,7 +14,8 @@
 constexpr int kExitFailure = 1;
 constexpr int kExitUnusableInput = 2;
 
-/// Reads the operator's file first, so that faults of the start file are logged as the operator wants them.
+/// Reads the operator's file first, so that errors in the start file are logged in the operator's format and
+/// level.
 DaemonConfig loadDaemonConfig(const std::string& operatorFile) {
     DaemonConfig config;
     config.operatorFile = operatorFile;
--- a/src/command/run.h
+++ b/src/command/run.h
@@ -6,8 +6,9 @@
 
 namespace zincstack::command {
 
-/// Serves until SIGTERM or SIGINT; the exit code. `signals` are unblocked once their handlers are installed and
-/// blocked again when the event loop has ended.
+/// Serves until SIGTERM or SIGINT and returns the exit code: 2 if the configuration is invalid, 1 for any
+/// other failure. `signals` are unblocked once their handlers are installed and blocked again when the event
+/// loop has ended.
 int run(const RunOptions& options, SignalMask& signals);
 
 } // namespace zincstack::command
--- a/src/command/signal_mask.h
+++ b/src/command/signal_mask.h
@@ -7,9 +7,10 @@
 
 /// Blocks SIGHUP, SIGTERM, SIGINT and SIGUSR1 from construction until `unblock`, and again after `block`.
 ///
-/// Without handlers SIGHUP would kill the process and SIGTERM would end it without its exit code. Both can happen
-/// before the handlers are installed and after the event loop has ended. A signal that is blocked stays pending and
-/// is delivered on `unblock`; one that is pending when the process exits is lost.
+/// Without a handler, SIGHUP would terminate the process and SIGTERM would end it without its own exit code.
+/// Either signal can arrive before the handlers are installed or after the event loop has ended. A blocked
+/// signal stays pending and is delivered on `unblock`; a signal that is still pending when the process exits
+/// is lost.
 class SignalMask {
 public:
     SignalMask() { block(); }
--- a/src/command/standin.cpp
+++ b/src/command/standin.cpp
@@ -20,7 +20,7 @@
 
 namespace asio = boost::asio;
 
-constexpr auto kFileCheckInterval = std::chrono::milliseconds(200); // soon enough for a person who edits it
+constexpr auto kFileCheckInterval = std::chrono::milliseconds(200); // short enough for a file edited by hand
 
 std::filesystem::file_time_type modificationTime(const std::string& file) {
     std::error_code ignored;
@@ -35,14 +35,14 @@
 
 asio::ip::tcp::endpoint requireListenAddress(const std::string& text) {
     const auto address = net::parseAddress(text);
-    if (!address) throw InputError("standin: no address: '" + text + "'");
+    if (!address) throw InputError("standin: --listen is not an IP address and port: '" + text + "'");
     return *address;
 }
 
-/// Serves the list of a file and looks from time to time whether the file has changed.
-class FileDiscovery {
+/// Serves the endpoint list of a file and polls the file for changes.
+class FileDiscoveryAgent {
 public:
-    FileDiscovery(std::string file, asio::ip::tcp::endpoint listen)
+    FileDiscoveryAgent(std::string file, asio::ip::tcp::endpoint listen)
         : file_(std::move(file)), listen_(std::move(listen)), modifiedAt_(loadInitialList()) {}
 
     void run() {
@@ -58,7 +58,8 @@
     }
 
 private:
-    /// Before the signals are handled: until then they end the process at once.
+    /// Runs before the signal handlers are installed, so that a signal during the load ends the process
+    /// immediately.
     std::filesystem::file_time_type loadInitialList() {
         agent_.set(readMembers(file_));
         return modificationTime(file_);
@@ -98,7 +99,7 @@
 int standin(const StandinOptions& options) {
     const auto listen = requireListenAddress(options.listen);
     log::start(log::Format::Text, log::Level::Info);
-    FileDiscovery(options.file, listen).run();
+    FileDiscoveryAgent(options.file, listen).run();
     return 0;
 }
 
--- a/src/command/subscribe.cpp
+++ b/src/command/subscribe.cpp
@@ -21,10 +21,11 @@
 
 namespace {
 
-constexpr Micros kForeignExclusionHold = std::chrono::seconds(10);
-constexpr int kExitRefused = 2; // the same greeting would be refused again
+constexpr Micros kInheritedExclusionHold = std::chrono::seconds(10); // of exclusions by an earlier planner
+constexpr int kExitRefused = 2; // permanently: the same greeting would be refused again
 
-/// What of a table a client uses: the endpoints that it may send to, and the admission limits.
+/// The contents of a routing table that a client uses: the eligible endpoints with their weights, and the
+/// admission limits.
 struct TableView {
     std::map<std::string, double> weights;
     std::map<std::string, pubsub::AdmissionLimit> admission;
@@ -47,16 +48,16 @@
     for (const auto& [requestClass, admission] : current.admission) {
         const auto before = previous.admission.find(requestClass);
         const bool isUnchanged = before != previous.admission.end() && before->second == admission;
-        if (!isUnchanged) std::printf("  %s let in: %g\n", requestClass.c_str(), admission.limit);
+        if (!isUnchanged) std::printf("  %s admission limit: %g\n", requestClass.c_str(), admission.limit);
     }
 }
 
-/// Prints the tables of a client as they change, as text or as one JSON object a line.
+/// Prints the routing tables of a client as they change, as text or as one JSON object per line.
 class TablePrinter {
 public:
     explicit TablePrinter(bool asJson) : asJson_(asJson) {}
 
-    /// Prints the tables that the change of a topic concerns and that differ from what was printed last.
+    /// Prints the tables that a change of this topic affects, except those that are the same as last printed.
     void onTopicChanged(const pubsub::Replica& replica, pubsub::TopicId topic) {
         const Micros now = client::SubscriptionClient::now();
         for (const auto& [candidate, table] : replica.tables())
@@ -100,7 +101,7 @@
         std::string requestClasses;
         for (const auto& name : table.requestClasses)
             requestClasses += (requestClasses.empty() ? "" : "+") + name;
-        std::printf("table %u for %s, change %llu: %zu servers\n", topic.value, requestClasses.c_str(),
+        std::printf("table %u for %s, sequence %llu: %zu endpoints\n", topic.value, requestClasses.c_str(),
                     static_cast<unsigned long long>(sequenceOf(replica, topic)), current.weights.size());
         printWeights(previous, current, isFirst);
         printAdmission(previous, current);
@@ -118,7 +119,7 @@
     std::vector<client::SubscriptionClient::Endpoint> planners;
     for (const auto& text : addresses) {
         const auto address = net::parseAddress(text);
-        if (!address) throw InputError("subscribe: no address: '" + text + "'");
+        if (!address) throw InputError("subscribe: not an IP address and port: '" + text + "'");
         planners.push_back(*address);
     }
     return planners;
@@ -134,7 +135,7 @@
     TablePrinter printer(options.json);
     const auto onChange = [&](std::optional<pubsub::TopicId> topic) {
         if (topic) printer.onTopicChanged(subscriber->subscription().replica(), *topic);
-        if (options.changes && printer.printedCount() >= options.changes) io.stop();
+        if (options.maxChanges && printer.printedCount() >= options.maxChanges) io.stop();
     };
     const auto onStatus = [&](const std::string& line) {
         std::fprintf(stderr, "%s\n", line.c_str());
@@ -146,7 +147,7 @@
     const auto proxy = options.proxy ? std::optional(ProxyId{*options.proxy}) : std::nullopt;
     subscriber = std::make_shared<client::SubscriptionClient>(
         io, parsePlanners(options.planners), client::Identity{proxy, options.zone, options.weight},
-        client::ReconnectConfig{}, std::random_device{}(), kForeignExclusionHold, onChange, onStatus);
+        client::ReconnectConfig{}, std::random_device{}(), kInheritedExclusionHold, onChange, onStatus);
     signals.async_wait([&](const boost::system::error_code& error, int) {
         if (!error) io.stop();
     });
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -1,4 +1,4 @@
-// The command line, the operator's file, `zincstack check`, and the lines of the log.
+// The command line, the operator's file, `zincstack check`, and the format of log lines.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -16,7 +16,7 @@
 
 using namespace std::chrono_literals;
 
-/// What is printed is captured, so that it does not stand among the results of the tests.
+/// Captures the printed output, so that it does not appear among the test results.
 std::variant<command::Command, int> parse(std::vector<const char*> arguments) {
     arguments.insert(arguments.begin(), "zincstack");
     testing::internal::CaptureStdout();
@@ -64,25 +64,25 @@
     EXPECT_EQ(std::get<int>(parse({"--version"})), 0);
 }
 
-/// The places of all errors, in one line.
-std::string errorPlaces(std::string_view text) {
-    std::string places;
+/// The JSON pointers of all errors, separated by spaces.
+std::string errorPointers(std::string_view text) {
+    std::string pointers;
     for (const auto& error : config::findOperatorConfigErrors(text))
-        places += (places.empty() ? "" : " ") + error.pointer;
-    return places;
+        pointers += (pointers.empty() ? "" : " ") + error.pointer;
+    return pointers;
 }
 
-TEST(OperatorFile, EveryErrorIsReportedWithItsPlace) {
-    EXPECT_EQ(errorPlaces(R"({"log":{"format":"xml"},"channel":{"listen":"x","subscribers":0,"other":1}})"),
+TEST(OperatorFile, EveryErrorIsReportedWithItsJsonPointer) {
+    EXPECT_EQ(errorPointers(R"({"log":{"format":"xml"},"channel":{"listen":"x","subscribers":0,"other":1}})"),
               "/channel /channel/listen /channel/subscribers /log/format");
-    EXPECT_EQ(errorPlaces(R"({"channel":{}})"), "/channel");
-    EXPECT_EQ(errorPlaces(R"({"channel":{"listen":"300.0.0.1:1","lease_s":1}})"),
+    EXPECT_EQ(errorPointers(R"({"channel":{}})"), "/channel");
+    EXPECT_EQ(errorPointers(R"({"channel":{"listen":"300.0.0.1:1","lease_s":1}})"),
               "/channel/listen /channel/lease_s");
-    EXPECT_EQ(errorPlaces(R"({"channel":{"listen":"127.0.0.1:1","beat_s":4}})"), "/channel/lease_s");
-    EXPECT_EQ(errorPlaces(R"({"later":1})"), "");
+    EXPECT_EQ(errorPointers(R"({"channel":{"listen":"127.0.0.1:1","beat_s":4}})"), "/channel/lease_s");
+    EXPECT_EQ(errorPointers(R"({"later":1})"), "");
     ASSERT_EQ(config::findOperatorConfigErrors(R"({"later":1})").size(), 1U);
     EXPECT_NE(config::findOperatorConfigErrors("{").at(0).message.find("offset 2"), std::string::npos);
-    EXPECT_EQ(errorPlaces("{}"), "");
+    EXPECT_EQ(errorPointers("{}"), "");
     EXPECT_TRUE(config::findOperatorConfigErrors("{}").empty());
     try {
         config::readOperatorConfig(R"({"log":{"level":3}})");
@@ -90,7 +90,7 @@
     } catch (const InputError& error) { EXPECT_EQ(std::string(error.what()).find("/log/level: "), 0U); }
 }
 
-TEST(OperatorFile, AbsentPartsAreOffAndTheRestIsAsWritten) {
+TEST(OperatorFile, AbsentSectionsKeepTheirDefaultsAndOthersAreRead) {
     EXPECT_FALSE(config::readOperatorConfig("{}").pubsub);
     EXPECT_FALSE(config::loadOperatorConfig("").pubsub);
     EXPECT_EQ(config::readOperatorConfig("{}").log, config::LogConfig{});
@@ -103,7 +103,7 @@
     EXPECT_EQ(read.pubsub->leaseDuration, config::PubsubConfig{}.leaseDuration);
 }
 
-TEST(CheckCommand, PrintsFileAndPlaceOfEachErrorAndReturnsTheExitCode) {
+TEST(CheckCommand, PrintsFileAndJsonPointerOfEachErrorAndReturnsTheExitCode) {
     const auto folder =
         std::filesystem::temp_directory_path() / ("zincstack-check-" + std::to_string(getpid()));
     std::filesystem::create_directories(folder);
@@ -116,7 +116,7 @@
     const std::string start = write("start.json", R"({"name":"n","settings":{"Zones":[]}})");
     std::ostringstream out;
     EXPECT_EQ(command::check({{good}}, out), 0);
-    EXPECT_EQ(out.str(), good + ": can be used\n");
+    EXPECT_EQ(out.str(), good + ": valid\n");
     EXPECT_EQ(command::check({{good, bad, start, folder.string(), good + "x"}}, out), 2);
     for (const std::string& wanted : {bad + ": /log: ", start + ": /settings/Zones: ",
                                       start + ": /settings: ", folder.string() + ": /: ", good + "x: /: "})
@@ -124,7 +124,7 @@
     std::filesystem::remove_all(folder);
 }
 
-TEST(LogLines, AreTextForPeopleAndAnObjectForPrograms) {
+TEST(LogLines, AreFormattedAsTextOrAsJsonObject) {
     const log::Fields fields{
         {"planner", "n 1"}, {"count", 3U}, {"part", 0.5}, {"on", true}, {"odd", "a=\"\xff\""}};
     EXPECT_EQ(log::formatLine(log::Format::Text, log::Level::Info, "up", fields),
