--- a/src/standin/agent_driver.cpp
+++ b/src/standin/agent_driver.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// How late a watch may be answered that ends by time.
+/// Maximum delay of the answer to a watch after its deadline.
 constexpr auto kWatchCheckInterval = std::chrono::milliseconds(100);
 
 } // namespace
@@ -63,8 +63,8 @@
     }
 }
 
-/// Written at once, without a queue: answers are small and the readers are planners. A failed write closes the
-/// connection.
+/// Writes synchronously, without a queue, because answers are small and the readers are planners. A failed
+/// write closes the connection.
 void AgentDriver::Connection::send(const std::string& bytes) {
     if (bytes.empty() || !socket.is_open()) return;
     error_code error;
--- a/src/standin/agent_driver.h
+++ b/src/standin/agent_driver.h
@@ -1,4 +1,5 @@
-// The stand-in discovery agent on a socket: accepts connections and moves bytes; ListAgent has the protocol.
+// The network side of the stand-in discovery agent: accepts connections and transfers bytes. ListAgent and
+// AgentSession implement the protocol.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,18 +16,20 @@
 
 namespace zincstack::standin {
 
-/// Serves an agent on one address. Owns the listener; connections own themselves. All work is done on the thread of
-/// `io`; `agent` must outlive the driver.
+/// Serves an agent on one address. Owns the acceptor; each connection is kept alive by its coroutine. All
+/// work is done on the thread of `io`. `agent` must outlive the driver.
 class AgentDriver {
 public:
-    /// Throws boost::system::system_error where the address can't be listened on.
+    /// Throws boost::system::system_error if the address cannot be bound.
     AgentDriver(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, ListAgent& agent);
     void start();
     boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-    /// To be called when the list or a fault of the agent has changed: answers the watches that are due.
+    /// Answers the watches that are due. To be called after a change of the agent's list or of an injected
+    /// fault.
     void notifyWatches();
 
 private:
+    /// An accepted connection: its socket and its protocol session.
     struct Connection {
         Connection(boost::asio::ip::tcp::socket accepted, const ListAgent& agent)
             : socket(std::move(accepted)), session(agent) {}
--- a/src/standin/list_agent.cpp
+++ b/src/standin/list_agent.cpp
@@ -33,9 +33,10 @@
 }
 
 void checkEntries(const json::Value& entries) {
-    if (!entries.is_array()) throw InputError("the list's members are no list");
+    if (!entries.is_array())
+        throw InputError("the field members of the endpoint list is missing or not an array");
     for (const auto& entry : entries)
-        if (!json::textOf(entry, "id")) throw InputError("an entry of the list has no id");
+        if (!json::textOf(entry, "id")) throw InputError("an entry of the endpoint list has no id");
 }
 
 } // namespace
@@ -97,15 +98,15 @@
 
 std::string AgentSession::feed(std::string_view bytes, Micros now) {
     std::string out;
-    unread_ += bytes;
+    unparsedBytes_ += bytes;
     while (state_ == State::Reading) {
-        const auto end = unread_.find(kHeadEnd);
+        const auto end = unparsedBytes_.find(kHeadEnd);
         if (end == std::string::npos) {
-            if (unread_.size() > kMaxRequestHeadBytes) state_ = State::Failed;
+            if (unparsedBytes_.size() > kMaxRequestHeadBytes) state_ = State::Failed;
             break;
         }
-        const std::string head = unread_.substr(0, end);
-        unread_.erase(0, end + kHeadEnd.size());
+        const std::string head = unparsedBytes_.substr(0, end);
+        unparsedBytes_.erase(0, end + kHeadEnd.size());
         out += handleRequest(head, now);
     }
     return out;
@@ -122,12 +123,13 @@
     return handleListRequest(target, now);
 }
 
-/// A request with an index is a watch; one without is answered at once, unless the agent is silent.
+/// A request with an index is a watch. One without an index is answered immediately, unless the agent is
+/// silent.
 std::string AgentSession::handleListRequest(std::string_view target, Micros now) {
     const auto index = queryArgument(target, "index=");
     const auto wait = queryArgument(target, "wait=");
     watchedRevision_ = index.value_or(0);
-    watchEndsAt_ = now + std::chrono::milliseconds(std::min(wait.value_or(0), kMaxWaitMillis));
+    watchDeadline_ = now + std::chrono::milliseconds(std::min(wait.value_or(0), kMaxWaitMillis));
     state_ = State::Watching;
     if (index) return answerIfDue(now);
     if (agent_.isSilent()) return {}; // the request stays open
@@ -138,7 +140,7 @@
 std::string AgentSession::answerIfDue(Micros now) {
     if (state_ != State::Watching || agent_.isSilent()) return {};
     const bool isWatch = watchedRevision_ != 0;
-    if (isWatch && agent_.servedRevision() <= watchedRevision_ && now < watchEndsAt_) return {};
+    if (isWatch && agent_.servedRevision() <= watchedRevision_ && now < watchDeadline_) return {};
     state_ = State::Reading;
     const std::string answer =
         httpResponse("200 OK", isWatch ? agent_.changesAfter(watchedRevision_) : agent_.snapshot());
--- a/src/standin/list_agent.h
+++ b/src/standin/list_agent.h
@@ -1,5 +1,5 @@
-// A stand-in for the discovery agent: the endpoint list, its revisions, and what a watch is answered. Written from the
-// published protocol; no I/O, the clock is handed in.
+// A stand-in for the discovery agent: the endpoint list, its revisions, and the answers to watches.
+// Implemented from the published protocol. No I/O; times are parameters.
 #pragma once
 
 #include <cstdint>
@@ -13,35 +13,36 @@
 
 namespace zincstack::standin {
 
-/// Owns the endpoint list with the revision of each entry's last change.
+/// Owns the endpoint list, with the revision at which each entry last changed.
 class ListAgent {
 public:
-    /// Replaces the list by these entries of the protocol. Differences become changes of the next revision; an entry
-    /// that is missing is removed. Throws InputError where an entry has no id.
+    /// Replaces the list by these entries, which have the format of the protocol. Differences become changes
+    /// of the next revision; an entry that is missing is marked as removed. Throws InputError if `entries` is
+    /// not an array or an entry has no id.
     void set(const json::Value& entries);
     std::uint64_t revision() const { return revision_; }
 
-    // ---- faults on command ----
+    // ---- fault injection ----
 
-    /// Answers nothing while it is silent.
+    /// While the agent is silent, it answers no request.
     void setSilent(bool silent) { silent_ = silent; }
     bool isSilent() const { return silent_; }
-    /// Answers from the list as it is now, whatever changes, until it is no longer stale.
+    /// While the agent is stale, it answers from the list as of this call, whatever changes are made.
     void setStale(bool stale);
 
-    // ---- bodies of answers ----
+    // ---- response bodies ----
 
-    /// The whole list.
+    /// The complete list.
     std::string snapshot() const;
-    /// What changed after a revision.
+    /// The entries that changed after a revision.
     std::string changesAfter(std::uint64_t revision) const;
-    /// The revision that it answers with: an old one while it is stale.
+    /// The revision in its answers: an old one while the agent is stale.
     std::uint64_t servedRevision() const { return stale_ ? stale_->revision : revision_; }
 
 private:
     struct Entry {
         json::Value value;
-        std::uint64_t changedAt = 0; ///< revision
+        std::uint64_t changedAt = 0; ///< revision of the last change
         bool removed = false;
     };
     using Entries = std::map<std::string, Entry>; // by id
@@ -50,7 +51,7 @@
         Entries entries;
     };
     const Entries& servedEntries() const { return stale_ ? stale_->entries : entries_; }
-    /// Both return whether anything has changed.
+    /// These return whether anything has changed.
     bool putEntries(const json::Value& values, std::uint64_t revision);
     bool removeMissing(const json::Value& values, std::uint64_t revision);
     std::string body(bool isSnapshot, std::uint64_t afterRevision) const;
@@ -61,15 +62,16 @@
     bool silent_ = false;
 };
 
-/// One connection to the agent: bytes of requests in, bytes of answers out. `agent` must outlive it.
+/// One connection to the agent: takes request bytes and returns response bytes. `agent` must outlive it.
 class AgentSession {
 public:
     explicit AgentSession(const ListAgent& agent) : agent_(agent) {}
-    /// Takes what was received and returns what to send now.
+    /// Processes received bytes and returns the bytes to send now.
     std::string feed(std::string_view bytes, Micros now);
-    /// To be called when the list has changed or time has passed: the answer to a watch, if it is due.
+    /// The answer to the pending watch if it is due, else empty. To be called after a change of the list and
+    /// as time passes.
     std::string answerIfDue(Micros now);
-    /// False after bytes that are no request: the connection is to be closed.
+    /// False after an invalid request: the connection must be closed.
     bool usable() const { return state_ != State::Failed; }
 
 private:
@@ -79,9 +81,9 @@
 
     const ListAgent& agent_;
     State state_ = State::Reading;
-    std::string unread_;
-    std::uint64_t watchedRevision_ = 0; ///< 0: the watch is answered with a snapshot
-    Micros watchEndsAt_{};
+    std::string unparsedBytes_;
+    std::uint64_t watchedRevision_ = 0; ///< 0: the answer is a snapshot
+    Micros watchDeadline_{};
 };
 
 } // namespace zincstack::standin
--- a/tests/standin_test.cpp
+++ b/tests/standin_test.cpp
@@ -1,4 +1,4 @@
-// The stand-in discovery agent against the planner's own side of the protocol.
+// The stand-in discovery agent, tested with the planner's client for the protocol.
 #include <gtest/gtest.h>
 
 #include "discovery/discovery_watch.h"
@@ -21,7 +21,7 @@
     net::Counters counters;
     struct Received {
         EndpointListUpdate kind;
-        std::string entries; ///< each one's id and the first letter of its phase
+        std::string entries; ///< of each entry: the id and the first letter of the phase
         bool operator==(const Received&) const = default;
     };
     std::vector<Received> received;
@@ -35,7 +35,7 @@
                                   return true;
                               },
                               counters, 1 << 20};
-    std::string pending; // the watch's next request
+    std::string pending; // the next request of the watch
     void connect() {
         agent.set(listOf({{"x", "Ready"}, {"y", "Ready"}}));
         pending = watch.feed(session.feed(watch.connected(), 0s));
@@ -52,14 +52,14 @@
     EXPECT_EQ(received.back(), (Received{EndpointListUpdate::Delta, "xTyGzR"}));
     EXPECT_EQ(session.feed(pending, 10s), "");
     EXPECT_EQ(session.answerIfDue(11s), "");
-    pending = watch.feed(session.answerIfDue(12s)); // nothing new: no members
+    pending = watch.feed(session.answerIfDue(12s)); // no change: no members
     EXPECT_EQ(received.size(), 2U);
     EXPECT_NE(pending.find("index=2&"), std::string::npos);
     agent.set(listOf({{"x", "Terminating"}, {"z", "Ready"}}));
     EXPECT_EQ(agent.revision(), 2U);
 }
 
-TEST_F(ListAgentTest, AgentIsSilentOrStaleOnCommand) {
+TEST_F(ListAgentTest, SilentAgentDoesNotAnswerAndStaleAgentServesTheOldList) {
     connect();
     agent.setSilent(true);
     agent.set(listOf({{"x", "Ready"}}));
@@ -72,7 +72,7 @@
     agent.set(listOf({{"x", "Terminating"}}));
     EXPECT_EQ(session.feed(pending, 51s), "");
     EXPECT_EQ(session.answerIfDue(52s), "");
-    AgentSession another(agent); // the snapshot is old, too
+    AgentSession another(agent); // snapshots are stale as well
     net::DiscoveryWatch second{"h:1",
                                [this](EndpointListUpdate, const json::Value& list) {
                                    received.push_back({EndpointListUpdate::Snapshot, list.dump()});
