--- a/src/load/arrival_schedule.cpp
+++ b/src/load/arrival_schedule.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// A fraction below 1 with all 53 bits that a double can hold.
+/// Maps a draw to a fraction in [0, 1) with the 53 bits of a double's significand.
 double toFraction(std::uint64_t draw) {
     constexpr unsigned kDroppedBits = 11;
     constexpr double kTwoToThe53 = 9007199254740992.0;
@@ -13,8 +13,9 @@
 
 } // namespace
 
-/// By comparisons alone (J. von Neumann, "Various techniques used in connection with random digits", 1951): the
-/// length of a falling run of uniform draws is odd with the chance that makes its first draw exponential.
+/// Uses comparisons alone (J. von Neumann, "Various techniques used in connection with random digits", 1951):
+/// a falling run of uniform draws that starts with x has odd length with probability exp(-x). The first draw
+/// of the first odd run is the fractional part, and the number of even runs before it is the whole part.
 double ArrivalSchedule::drawExponential() {
     for (std::uint64_t wholePart = 0;; ++wholePart) {
         const std::uint64_t first = random_();
@@ -29,8 +30,8 @@
 }
 
 std::optional<Micros> ArrivalSchedule::next() {
-    expected_ += process_ == Process::Even ? 1 : drawExponential();
-    const auto time = profile_.microsUntilExpected(expected_);
+    expectedCount_ += process_ == Process::Even ? 1 : drawExponential();
+    const auto time = profile_.microsUntilExpected(expectedCount_);
     if (!time) return {};
     return Micros(static_cast<std::int64_t>(*time));
 }
--- a/src/load/arrival_schedule.h
+++ b/src/load/arrival_schedule.h
@@ -1,7 +1,7 @@
-// When the requests of an open-loop load generator are to be sent. Open loop: nothing here depends on answers.
+// The send times of an open-loop load generator. Open loop: the schedule does not depend on responses.
 //
-// The schedule depends on the profile and the seed alone and is the same on every machine: chance is drawn by
-// comparing integers. No I/O.
+// The schedule depends on the profile and the seed alone and is the same on every machine, because random
+// values are drawn by comparing integers. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,24 @@
 
 namespace zincstack::load {
 
-/// Times of arrivals one after another, by a rate profile.
+/// Generates arrival times that follow a rate profile.
 class ArrivalSchedule {
 public:
+    /// Even: one arrival per expected request. Poisson: exponentially distributed gaps.
     enum class Process : std::uint8_t { Even, Poisson };
     ArrivalSchedule(RateProfile profile, Process process, std::uint64_t seed)
         : profile_(std::move(profile)), process_(process), random_(seed) {}
-    /// The next arrival, no earlier than the one before; none: there are no more.
+    /// The next arrival, no earlier than the previous one; std::nullopt after the last arrival.
     std::optional<Micros> next();
 
 private:
-    /// A draw from the exponential distribution of mean 1.
+    /// A random value from the exponential distribution with mean 1.
     double drawExponential();
 
     const RateProfile profile_;
     const Process process_;
     std::mt19937_64 random_;
-    double expected_ = 0; // requests that are expected by the next arrival
+    double expectedCount_ = 0; // requests expected by the time of the last arrival
 };
 
 } // namespace zincstack::load
--- a/src/load/compression.cpp
+++ b/src/load/compression.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::string_view kFrameMagic = "\x28\xb5\x2f\xfd";
-constexpr int kCompressionLevel = 3; // zstd's own default
+constexpr int kCompressionLevel = 3; // the default of zstd
 
 using Decompressor = std::unique_ptr<ZSTD_DStream, decltype(&ZSTD_freeDStream)>;
 
@@ -26,16 +26,16 @@
 std::optional<std::string> decompress(std::string_view compressed, std::size_t maxBytes) {
     const Decompressor stream(ZSTD_createDStream(), ZSTD_freeDStream);
     std::string out;
-    std::string piece(ZSTD_DStreamOutSize(), '\0');
+    std::string chunk(ZSTD_DStreamOutSize(), '\0');
     ZSTD_inBuffer input{compressed.data(), compressed.size(), 0};
-    std::size_t expectedMore = 1; // zero at the end of a frame
-    while (input.pos < input.size || expectedMore != 0) {
-        ZSTD_outBuffer output{piece.data(), piece.size(), 0};
-        expectedMore = ZSTD_decompressStream(stream.get(), &output, &input);
-        if (ZSTD_isError(expectedMore) || out.size() + output.pos > maxBytes) return {};
-        const bool isCutOff = input.pos == input.size && output.pos == 0 && expectedMore != 0;
-        if (isCutOff) return {};
-        out.append(piece, 0, output.pos);
+    std::size_t nextInputHint = 1; // zero at the end of a frame
+    while (input.pos < input.size || nextInputHint != 0) {
+        ZSTD_outBuffer output{chunk.data(), chunk.size(), 0};
+        nextInputHint = ZSTD_decompressStream(stream.get(), &output, &input);
+        if (ZSTD_isError(nextInputHint) || out.size() + output.pos > maxBytes) return {};
+        const bool isTruncated = input.pos == input.size && output.pos == 0 && nextInputHint != 0;
+        if (isTruncated) return {};
+        out.append(chunk, 0, output.pos);
     }
     return out;
 }
--- a/src/load/compression.h
+++ b/src/load/compression.h
@@ -1,4 +1,4 @@
-// zstd compression of a whole text in memory.
+// zstd compression and decompression of a complete text in memory.
 #pragma once
 
 #include <cstddef>
@@ -8,11 +8,12 @@
 
 namespace zincstack::load {
 
-/// Whether the text begins as zstd's frames do (RFC 8878).
+/// Whether the text begins with the magic number of a zstd frame (RFC 8878).
 bool isCompressed(std::string_view text);
+/// Compresses the text into one zstd frame.
 std::string compress(std::string_view text);
-/// None: it is cut off or damaged, or larger than `maxBytes` once decompressed. It is decompressed in pieces, so that
-/// memory stays bounded by `maxBytes`.
+/// Returns std::nullopt if the input is truncated or corrupt, or if the output would exceed `maxBytes`.
+/// Decompresses in chunks, so that `maxBytes` bounds the memory.
 std::optional<std::string> decompress(std::string_view compressed, std::size_t maxBytes);
 
 } // namespace zincstack::load
--- a/src/load/histogram.cpp
+++ b/src/load/histogram.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// From a power of two to the next.
+/// Buckets from one power of two to the next.
 constexpr std::uint64_t kBucketsPerDoubling = std::uint64_t{1} << Histogram::kPrecisionBits;
 
 Micros toMicros(std::uint64_t value) { return Micros(static_cast<std::int64_t>(value)); }
@@ -21,14 +21,15 @@
                                      std::max<std::uint64_t>(count, 1));
 }
 
-/// Values below 2 * kBucketsPerDoubling have a bucket each; above, each doubling has kBucketsPerDoubling of them.
+/// Each value below 2 * kBucketsPerDoubling has its own bucket; above, each doubling has kBucketsPerDoubling
+/// buckets.
 std::size_t Histogram::bucketOf(std::uint64_t value) {
     if (value < 2 * kBucketsPerDoubling) return value;
     const auto shift = static_cast<unsigned>(std::bit_width(value)) - (kPrecisionBits + 1);
     return shift * kBucketsPerDoubling + (value >> shift);
 }
 
-std::uint64_t Histogram::middleOf(std::size_t bucket) {
+std::uint64_t Histogram::midpointOf(std::size_t bucket) {
     if (bucket < 2 * kBucketsPerDoubling) return bucket;
     const auto shift = static_cast<unsigned>(bucket / kBucketsPerDoubling - 1);
     return ((bucket - shift * kBucketsPerDoubling) << shift) + (std::uint64_t{1} << shift) / 2;
@@ -61,7 +62,7 @@
     if (rank >= count_) return max_;
     for (std::size_t bucket = 0; bucket < counts_.size(); ++bucket) {
         seen += counts_[bucket];
-        if (seen >= rank) return std::clamp(toMicros(middleOf(bucket)), min_, max_);
+        if (seen >= rank) return std::clamp(toMicros(midpointOf(bucket)), min_, max_);
     }
     return max_;
 }
@@ -80,7 +81,7 @@
 std::vector<Histogram::Bucket> Histogram::buckets() const {
     std::vector<Bucket> filled;
     for (std::size_t bucket = 0; bucket < counts_.size(); ++bucket)
-        if (counts_[bucket] > 0) filled.push_back({toMicros(middleOf(bucket)), counts_[bucket]});
+        if (counts_[bucket] > 0) filled.push_back({toMicros(midpointOf(bucket)), counts_[bucket]});
     return filled;
 }
 
--- a/src/load/rate_profile.cpp
+++ b/src/load/rate_profile.cpp
@@ -61,10 +61,11 @@
 
 RateProfile RateProfile::day(const std::vector<double>& rates, Micros duration) {
     if (rates.empty()) return {};
-    const auto parts = static_cast<std::int64_t>(rates.size());
+    const auto intervals = static_cast<std::int64_t>(rates.size());
     std::vector<Point> points{{Micros{}, rates.front()}};
-    for (std::int64_t part = 0; part < parts; ++part)
-        points.push_back({duration * (2 * part + 1) / (2 * parts), rates[static_cast<std::size_t>(part)]});
+    for (std::int64_t index = 0; index < intervals; ++index)
+        points.push_back(
+            {duration * (2 * index + 1) / (2 * intervals), rates[static_cast<std::size_t>(index)]});
     points.push_back({duration, rates.back()});
     return RateProfile(std::move(points));
 }
@@ -73,7 +74,7 @@
     const auto from = std::ranges::lower_bound(points_, time, {}, &Point::time);
     const auto end = std::ranges::upper_bound(points_, time, {}, &Point::time);
     if (from == end) return {rateAt(time), rateAt(time)};
-    // Outside its points the rate is zero, so the ends are steps.
+    // The rate is zero outside the points, so the first and the last point are steps.
     StepRates rates;
     rates.before = from == points_.begin() ? 0 : from->rate;
     rates.after = end == points_.end() ? 0 : (end - 1)->rate;
@@ -127,7 +128,8 @@
     const double duration = micros(target.time - from.time) / kMicrosPerSecond;
     const double missing = count - expectedUntilPoint_[segment];
     if (missing <= 0 || duration <= 0) return micros(from.time);
-    // missing = rate * t + slope / 2 * t * t, solved for t in a form that loses nothing where the slope is small.
+    // missing = rate * t + slope / 2 * t * t, solved for t in a form that does not lose precision if the
+    // slope is small.
     const double slope = (target.rate - from.rate) / duration;
     const double root = std::sqrt(std::max(from.rate * from.rate + 2 * slope * missing, 0.0));
     const double time = 2 * missing / (from.rate + root);
--- a/src/load/trace.cpp
+++ b/src/load/trace.cpp
@@ -15,14 +15,14 @@
 
 constexpr std::string_view kCsvHeader = "at_us,product,caller";
 constexpr std::size_t kMaxLineBytes = 4096;
-constexpr std::size_t kMaxQuotedBytes = 40; // of a wrong value, in a message
+constexpr std::size_t kMaxQuotedBytes = 40; // of an invalid value, in an error message
 constexpr int kMaxJsonDepth = 2;
 
 struct LineError {
     TraceErrorKind kind;
     std::string what;
 };
-/// The fields of a line as text, not yet checked.
+/// The fields of a line as text, not yet validated.
 struct LineFields {
     std::string at;
     std::string className;
@@ -41,7 +41,7 @@
 std::string quote(const std::string& text) { return "'" + text.substr(0, kMaxQuotedBytes) + "'"; }
 
 FieldsOrError splitCsv(std::string_view line) {
-    LineError notThreeFields{TraceErrorKind::InvalidSyntax, "not three fields"};
+    LineError notThreeFields{TraceErrorKind::InvalidSyntax, "expected three fields: at_us,product,caller"};
     const auto first = line.find(',');
     if (first == std::string_view::npos) return notThreeFields;
     const auto second = line.find(',', first + 1);
@@ -58,12 +58,13 @@
         const json::Value& at = json::member(object, "at_us");
         const json::Value& caller = json::member(object, "caller");
         const auto* className = json::textOf(object, "product");
-        if (!className) return LineError{TraceErrorKind::InvalidSyntax, "no product"};
+        if (!className)
+            return LineError{TraceErrorKind::InvalidSyntax, "the field product is missing or not a string"};
         return LineFields{at.dump(), *className, caller.is_null() ? "0" : caller.dump()};
     } catch (const InputError& error) { return LineError{TraceErrorKind::InvalidSyntax, error.what()}; }
 }
 
-/// Takes the first line off the text, without its end.
+/// Removes the first line from the text and returns it without its line ending.
 std::string_view takeLine(std::string_view& text) {
     const auto end = text.find('\n');
     std::string_view line = text.substr(0, end);
@@ -85,7 +86,7 @@
             if (!line.empty() && !isHeader) readLine(number, line);
         }
         if (trace_.requests.empty() && trace_.errors.empty())
-            addError(0, {TraceErrorKind::Empty, "no txn at all"});
+            addError(0, {TraceErrorKind::Empty, "the trace contains no requests"});
         return std::move(trace_);
     }
 
@@ -94,12 +95,13 @@
         RequestOrError parsed = parseLine(line);
         if (auto* error = std::get_if<LineError>(&parsed)) return addError(number, std::move(*error));
         trace_.requests.push_back(std::get<RecordedRequest>(parsed));
-        last_ = trace_.requests.back().at;
+        lastAt_ = trace_.requests.back().at;
     }
     RequestOrError parseLine(std::string_view line) const {
         if (line.size() > kMaxLineBytes)
-            return LineError{TraceErrorKind::LineTooLong,
-                             "a line of " + std::to_string(line.size()) + " bytes"};
+            return LineError{TraceErrorKind::LineTooLong, "line of " + std::to_string(line.size()) +
+                                                              " bytes is longer than " +
+                                                              std::to_string(kMaxLineBytes)};
         FieldsOrError fields = format_ == TraceFormat::Csv ? splitCsv(line) : splitJson(line);
         if (auto* error = std::get_if<LineError>(&fields)) return std::move(*error);
         return parseFields(std::get<LineFields>(fields));
@@ -107,15 +109,20 @@
     RequestOrError parseFields(const LineFields& fields) const {
         const auto micros = parseUnsigned(fields.at);
         if (!micros || *micros > static_cast<std::uint64_t>(kMaxTraceTime.count()))
-            return LineError{TraceErrorKind::BadTime, "no usable time: " + quote(fields.at)};
+            return LineError{TraceErrorKind::BadTime, "at_us is not a whole number from 0 to " +
+                                                          std::to_string(kMaxTraceTime.count()) + ": " +
+                                                          quote(fields.at)};
         const Micros at(static_cast<std::int64_t>(*micros));
-        if (at < last_)
-            return LineError{TraceErrorKind::TimeBackwards, "earlier than the line before: " + fields.at};
+        if (at < lastAt_)
+            return LineError{TraceErrorKind::TimeBackwards,
+                             "earlier than the previous request: " + fields.at};
         const auto name = std::ranges::find(classNames_, fields.className);
         if (name == classNames_.end())
-            return LineError{TraceErrorKind::UnknownClass, "no such product: " + quote(fields.className)};
+            return LineError{TraceErrorKind::UnknownClass, "unknown product: " + quote(fields.className)};
         const auto caller = parseUnsigned(fields.caller);
-        if (!caller) return LineError{TraceErrorKind::BadCaller, "no usable caller: " + quote(fields.caller)};
+        if (!caller)
+            return LineError{TraceErrorKind::BadCaller,
+                             "caller is not a whole number of at most 64 bits: " + quote(fields.caller)};
         const RequestClassId requestClass{static_cast<std::uint16_t>(name - classNames_.begin())};
         return RecordedRequest{at, requestClass, *caller};
     }
@@ -128,7 +135,7 @@
     const std::vector<std::string>& classNames_;
     const std::size_t maxErrors_;
     Trace trace_;
-    Micros last_{}; // of the requests read so far
+    Micros lastAt_{}; // time of the last request read
 };
 
 /// Appends one line of the trace.
@@ -153,8 +160,9 @@
         if (!decompressed) {
             Trace trace;
             if (maxErrors > 0)
-                trace.errors.push_back(
-                    {TraceErrorKind::NotDecompressible, 0, "can't be unpacked, or is larger than any trace"});
+                trace.errors.push_back({TraceErrorKind::NotDecompressible, 0,
+                                        "cannot be decompressed, or is larger than " +
+                                            std::to_string(kMaxTraceTextBytes) + " bytes"});
             return trace;
         }
         text = *decompressed;
--- a/tests/any_rate_profile.h
+++ b/tests/any_rate_profile.h
@@ -1,4 +1,4 @@
-// A generator of rate profiles for properties.
+// A generator of rate profiles for property tests.
 #pragma once
 
 #include <rapidcheck.h>
@@ -7,7 +7,7 @@
 
 namespace zincstack::tests {
 
-/// Any kind of profile, of 10 to 60 seconds.
+/// A random profile of any kind, 10 to 60 seconds long.
 inline load::RateProfile anyRateProfile() {
     using namespace std::chrono_literals;
     using load::RateProfile;
--- a/tests/load_arrival_schedule_test.cpp
+++ b/tests/load_arrival_schedule_test.cpp
@@ -1,4 +1,4 @@
-// Arrival times drawn from a rate profile: their count, their gaps, and that the seed decides them.
+// Arrival times drawn from a rate profile: their count, their gaps, and that the seed determines them.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -15,7 +15,7 @@
 using namespace std::chrono_literals;
 using tests::anyRateProfile;
 
-RC_GTEST_PROP(ArrivalSchedule, CountFollowsTheProfileAndTheSeedAloneDecidesTheTimes, ()) {
+RC_GTEST_PROP(ArrivalSchedule, CountFollowsTheProfileAndTheSeedDeterminesTheTimes, ()) {
     const RateProfile profile = anyRateProfile();
     const auto seed = *rc::gen::arbitrary<std::uint32_t>();
     for (const auto process : {ArrivalSchedule::Process::Even, ArrivalSchedule::Process::Poisson}) {
@@ -31,7 +31,7 @@
         const double spread =
             process == ArrivalSchedule::Process::Even ? 1.5 : 6 * std::sqrt(profile.expectedTotal()) + 2;
         RC_ASSERT(std::abs(static_cast<double>(all.size()) - profile.expectedTotal()) <= spread);
-        // Also in its first half alone.
+        // The same holds for the first half alone.
         const Micros half = profile.end() / 2;
         const auto early = std::ranges::count_if(all, [half](Micros at) { return at < half; });
         RC_ASSERT(std::abs(static_cast<double>(early) - profile.expectedUntil(half)) <= spread);
@@ -46,7 +46,7 @@
     int count = 0;
     int longer = 0;
     while (const auto at = schedule.next()) {
-        const double gap = static_cast<double>((*at - before).count()) / 1000; // of the mean
+        const double gap = static_cast<double>((*at - before).count()) / 1000; // relative to the mean
         sum += gap;
         squares += gap * gap;
         if (gap > 1) ++longer;
--- a/tests/load_histogram_test.cpp
+++ b/tests/load_histogram_test.cpp
@@ -1,4 +1,4 @@
-// The histogram of latencies: its error, merges and range.
+// The latency histogram: error bound, merging and range.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -56,7 +56,7 @@
     RC_ASSERT(forwards.min() == all.min() && backwards.max() == all.max());
 }
 
-TEST(Histogram, ValuesOutOfRangeCountAtItsEnds) {
+TEST(Histogram, ValuesOutOfRangeAreClamped) {
     Histogram histogram;
     EXPECT_EQ(histogram.percentile(50), 0us);
     histogram.add(-5us);
--- a/tests/load_rate_profile_test.cpp
+++ b/tests/load_rate_profile_test.cpp
@@ -1,4 +1,4 @@
-// Rate profiles: their integral, its inverse, and the shape of a surge.
+// Rate profiles: the expected count as their integral, its inverse, and the shape of a surge.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
--- a/tests/load_recorder_test.cpp
+++ b/tests/load_recorder_test.cpp
@@ -1,4 +1,4 @@
-// The recorder of an open-loop run: stalls and unanswered requests are in its figures.
+// The recorder of an open-loop run: its statistics include stalls and unanswered requests.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,9 +10,10 @@
 
 using namespace std::chrono_literals;
 
-/// An endpoint that stalls for two seconds under 100 requests a second: those scheduled within the stall wait for its
-/// end, so that a sixth of all is late by up to two seconds. A closed loop would have seen one slow request.
-TEST(Recorder, StallAppearsAtItsTrueSizeAndTheClosedLoopFigureMissesIt) {
+/// Guards against coordinated omission. An endpoint stalls for two seconds under 100 requests per second: the
+/// requests scheduled during the stall wait for its end, so that a sixth of all are late by up to two
+/// seconds. A closed loop would have seen one slow request.
+TEST(Recorder, StallAppearsInOpenLoopLatencyAndNotInClosedLoopLatency) {
     Recorder open;
     Recorder closed;
     const Micros stallFrom = 5s;
@@ -26,7 +27,7 @@
         open.requestSent(scheduledAt, scheduledAt);
         open.requestCompleted(scheduledAt, scheduledAt, answerAt(scheduledAt), RequestOutcome::Served);
     }
-    Micros free{}; // the closed loop sends the next one once it has the answer
+    Micros free{}; // the closed loop sends the next request after the previous answer
     for (int k = 0; k < 1200; ++k) {
         const Micros scheduledAt = k * 10ms;
         const Micros sentAt = std::max(scheduledAt, free);
@@ -38,18 +39,19 @@
         EXPECT_NEAR(static_cast<double>(actual.count()), expected,
                     Histogram::kMaxRelativeError * expected + 10'000);
     };
-    // By hand: 1,000 at 10 ms; 200 evenly from 20 to 2,010 ms, so p of all falls at (p - 83.33%) / 16.67% of it.
+    // Expected: 1,000 requests take 10 ms and 200 are spread evenly from 20 to 2,010 ms, so percentile p lies
+    // at (p - 83.33%) / 16.67% of that range.
     expectNear(*open.percentile(50), 10'000);
     expectNear(*open.percentile(90), 10'000 + (0.9 - 1000.0 / 1200) * 1200 * 10'000);
     expectNear(*open.percentile(99), 10'000 + (0.99 - 1000.0 / 1200) * 1200 * 10'000);
     expectNear(*open.percentile(100), 2'010'000);
     expectNear(closed.closedLoopLatency().percentile(99.9), 10'000); // one in 1,200 was slow
-    EXPECT_GT(closed.latency().percentile(99), 1500ms); // from the scheduled time it is all there
-    EXPECT_FALSE(closed.keptSchedule(1ms, 0.001));      // and its schedule was not kept
+    EXPECT_GT(closed.latency().percentile(99), 1500ms); // the latency from the scheduled time shows the stall
+    EXPECT_FALSE(closed.keptSchedule(1ms, 0.001));      // and the closed loop did not keep its schedule
     EXPECT_TRUE(open.keptSchedule(1ms, 0.001));
 }
 
-TEST(Recorder, UnansweredRejectedAndUnsentRequestsAreInTheFigures) {
+TEST(Recorder, UnansweredRejectedAndUnsentRequestsAreIncluded) {
     Recorder recorder;
     for (int k = 0; k < 98; ++k) recorder.requestSent(0s, 0s);
     for (int k = 0; k < 90; ++k) recorder.requestCompleted(0s, 0s, Micros(1ms), RequestOutcome::Served);
--- a/tests/load_trace_test.cpp
+++ b/tests/load_trace_test.cpp
@@ -1,4 +1,4 @@
-// Recorded traces: read back as written, and messages on unusable lines.
+// Recorded traces: round trip through each format, and errors for invalid lines.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -12,12 +12,12 @@
 
 using namespace std::chrono_literals;
 
-RC_GTEST_PROP(Trace, IsReadBackAsWrittenInEitherFormatCompressedOrNot, ()) {
+RC_GTEST_PROP(Trace, RoundTripsInEitherFormatCompressedOrNot, ()) {
     const std::vector<std::string> classNames{"lookup", "hold", "confirm \"x\""};
     std::vector<RecordedRequest> requests;
     Micros at{};
     for (int k = *rc::gen::inRange(1, 60); k > 0; --k) {
-        at += Micros(*rc::gen::inRange(0, 3)); // equal times, too
+        at += Micros(*rc::gen::inRange(0, 3)); // including equal times
         requests.push_back({at,
                             {static_cast<std::uint16_t>(*rc::gen::inRange(0, 3))},
                             *rc::gen::arbitrary<std::uint64_t>()});
@@ -30,7 +30,7 @@
         }
 }
 
-TEST(Trace, EachUnusableLineIsReportedByItsNumberAndTheRestIsRead) {
+TEST(Trace, EachInvalidLineIsReportedWithItsNumberAndTheRestIsRead) {
     const std::vector<std::string> classNames{"lookup"};
     const auto read =
         readTrace("at_us,product,caller\n5,lookup,1\r\n4,lookup,1\nx,lookup,1\n6,order,1\n7,lookup\n"
@@ -51,7 +51,7 @@
     EXPECT_EQ(readTrace(std::string(100, '\n') + std::string(9000, 'x'), classNames, 1).errors.size(), 1U);
 }
 
-TEST(Trace, CutOffCompressedTraceIsOneErrorAndNothingIsHalfRead) {
+TEST(Trace, TruncatedCompressedTraceIsOneErrorAndYieldsNoRequests) {
     const std::vector<std::string> classNames{"lookup"};
     const auto whole = writeTrace({{1us, {0}, 1}, {2us, {0}, 2}}, classNames, TraceFormat::Csv, true);
     for (std::size_t size = 4; size < whole.size(); ++size) {
