--- a/tests/planner_process.h
+++ b/tests/planner_process.h
@@ -1,5 +1,6 @@
-// Runs the built planner as a process of its own, beside stand-ins of discovery, collectors and proxies on loopback
-// sockets. The stand-ins are written from the published protocol, not with the planner's code.
+// Test fixture that runs the planner executable as a child process and connects it to simulated discovery,
+// collectors and proxies on loopback sockets. The simulated peers implement the published protocol without
+// the planner's code.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -25,6 +26,7 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
+/// The settings in the start file, unless a test replaces PlannerProcess::settings.
 inline constexpr std::string_view kDefaultSettings =
     R"({"Balancers":1,"Classes":[{"Name":"lookup","AimS":1.0,"DeadlineS":3.0,
     "Effect":"retryable","Worth":3.0}],"Contract":{"ColdS":16.0,"DrainGraceS":2.0,"FallMultiple":4.0,
@@ -32,43 +34,45 @@
     "EgressPerS":7000.0,"Envelope":6.0,"QueueCap":14000.0,"ThrottleBy":"rps","PeriodS":1.0},"TickS":0.005,
     "WeightKind":"rough","Zones":["a","b"]})";
 
-inline constexpr unsigned kTestTimeoutSeconds = 60; // no test of this kind takes so long
+/// SIGALRM ends a test that blocks for longer. No test needs that long.
+inline constexpr unsigned kTestTimeoutSeconds = 60;
 
-/// An entry of discovery's list.
+/// An entry of discovery's endpoint list, as JSON.
 inline std::string listEntry(std::string_view name, std::string_view phase) {
     return R"({"id":")" + std::string(name) +
            R"(","host_port":"127.0.0.1:1","locality":"a","flavor":"m","cell":1,"phase":")" +
            std::string(phase) + R"(","size":1.0,"up_since_ms":0})";
 }
 
-/// Discovery's response: a snapshot of the list if complete, otherwise its changes.
+/// Discovery's HTTP response: a snapshot of the endpoint list if `complete`, otherwise the changed entries.
 inline std::string listResponse(int revision, bool complete, const std::string& entries) {
     const std::string body = R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" +
                              (complete ? "true" : "false") + R"(,"members":[)" + entries + "]}";
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// A connection of a stand-in. Reads block; the alarm of the whole test bounds them.
+/// A simulated peer's connection to the planner. Reads block; the only time limit is kTestTimeoutSeconds.
 struct TestConnection {
     tcp::socket socket;
-    std::string received; ///< and not yet read
+    std::string received; ///< bytes taken from the socket that no read has returned yet
 
     void write(const std::string& text) { asio::write(socket, asio::buffer(text)); }
-    /// Everything up to the delimiter, with it.
+    /// Returns everything up to and including the delimiter.
     std::string readUntil(std::string_view delimiter) {
         const std::size_t size = asio::read_until(socket, asio::dynamic_buffer(received), delimiter);
         std::string text = received.substr(0, size);
         received.erase(0, size);
         return text;
     }
-    /// The next line that contains the text, past those that do not.
+    /// Returns the next line that contains the text and discards the lines before it.
     std::string readLineWith(std::string_view text) {
         for (;;)
             if (std::string line = readUntil("\r\n"); line.find(text) != std::string::npos) return line;
     }
 };
 
-/// Starts one planner process with a start file of its own, and ends it with the test. Listens as discovery.
+/// Starts a planner process with its own start file and kills it at the end of the test if it still runs.
+/// Also listens on a loopback port as the discovery service.
 struct PlannerProcess : testing::Test {
     asio::io_context io;
     tcp::acceptor discovery{io, {asio::ip::address_v4::loopback(), 0}};
@@ -86,12 +90,14 @@
             << listEntry("s-0", "Ready") << R"(]},"settings":)" << settings << "}";
     }
 
+    /// Writes the start file and starts the process.
     void start(const std::string& listen, std::string_view discoveryField = "discovery",
                const std::string& operatorFile = {}) {
         writeStartFile(listen, discoveryField, discovery.local_endpoint().port());
         spawn(operatorFile);
     }
 
+    /// Starts the process with the start file as it is.
     void spawn(const std::string& operatorFile = {}) {
         int logPipe[2];
         ASSERT_EQ(pipe(logPipe), 0);
@@ -112,7 +118,7 @@
         alarm(kTestTimeoutSeconds);
     }
 
-    /// The next line of the log that contains the text; empty at the end of the log.
+    /// Returns the next log line that contains the text, or an empty string if the log ends first.
     std::string waitForLogLine(std::string_view text) {
         char line[4096];
         while (std::fgets(line, sizeof line, log))
@@ -120,7 +126,7 @@
         return {};
     }
 
-    /// Starts at a free port; the port.
+    /// Starts the process on a free port and returns the port.
     std::uint16_t startAtFreePort() {
         constexpr std::string_view kHost = "127.0.0.1:";
         start("127.0.0.1:0");
@@ -128,7 +134,7 @@
         return static_cast<std::uint16_t>(std::stoi(line.substr(line.find(kHost) + kHost.size())));
     }
 
-    /// Waits for the end of the process; -1 where a signal ended it.
+    /// Waits for the process to exit and returns its exit code, or -1 if a signal terminated it.
     int exitCode() {
         int status = -1;
         waitpid(std::exchange(pid, 0), &status, 0);
