--- a/tests/subscription_flow_test.cpp
+++ b/tests/subscription_flow_test.cpp
@@ -1,4 +1,5 @@
-// SubscriptionServer under slow, stalled and many subscribers: nothing is lost, memory is bounded, nobody starves.
+// Tests of SubscriptionServer's flow control with slow, stalled and many subscribers: no update is lost,
+// memory is bounded, and no subscriber starves.
 #include <gtest/gtest.h>
 
 #include "subscription_server_fixture.h"
@@ -10,7 +11,7 @@
 
 struct SubscriptionFlowTest : tests::SubscriptionServerFixture {};
 
-TEST_F(SubscriptionFlowTest, AStalledSubscriberHoldsAtMostAWindowAndLosesNothingOnceItReads) {
+TEST_F(SubscriptionFlowTest, AStalledSubscriberHasABoundedWindowAndCatchesUpOnceItReads) {
     addEndpoints(300);
     Client& slow = addJoinedClient(3);
     Client& live = addJoinedClient(4);
@@ -35,8 +36,9 @@
     EXPECT_EQ(slow.connection->subscriber->window.lines, 0U);
 }
 
-/// Stalled subscribers once held so much of the shared queue that nobody else was sent anything.
-TEST_F(SubscriptionFlowTest, ATenthThatReadNothingStarveNobodyAndTheirMemoryIsBounded) {
+/// Regression: stalled subscribers occupied so much of the shared queue that no other subscriber was sent
+/// anything.
+TEST_F(SubscriptionFlowTest, StalledSubscribersDoNotStarveTheOthersAndTheirQueuedBytesAreBounded) {
     constexpr std::size_t kClients = 200;
     constexpr std::size_t kStalledEvery = 10;
     addEndpoints(300);
@@ -60,11 +62,11 @@
     EXPECT_EQ(server->flowControl().lines(), 0U);
 }
 
-TEST_F(SubscriptionFlowTest, AnExclusionOvertakesATableThatHasNotBeenRead) {
+TEST_F(SubscriptionFlowTest, AnExclusionIsDeliveredBeforeTheRestOfAnUnreadTable) {
     addEndpoints(1000);
     flowControlLimits.maxLinesPerSubscriber = 300;
     Client& client = addClient(3);
-    runBatch(); // the first part of the table is on its way, the rest waits
+    runBatch(); // the first part of the table has been sent, the rest is queued
     client.receive(4096);
     runBatch([&] {
         setExcluded(999, true);
@@ -76,12 +78,12 @@
         isNotified = client.replica().isExcluded("s-999", now);
     }
     EXPECT_TRUE(isNotified);
-    EXPECT_EQ(client.table(), nullptr); // not complete yet
+    EXPECT_EQ(client.table(), nullptr); // not yet received completely
     runUntilQuiet();
     EXPECT_TRUE(isUpToDate(client, 0));
 }
 
-TEST_F(SubscriptionFlowTest, AReaderOfOneByteAtATimeEndsWithTheSameTable) {
+TEST_F(SubscriptionFlowTest, ASubscriberThatReadsOneByteAtATimeReceivesTheCurrentTable) {
     addEndpoints(40);
     Client& client = addClient(3);
     runBatch();
@@ -93,7 +95,7 @@
     EXPECT_TRUE(isUpToDate(client, 0));
 }
 
-TEST_F(SubscriptionFlowTest, HundredsThatReconnectAtOnceFillNoQueueAndStarveNobody) {
+TEST_F(SubscriptionFlowTest, HundredsOfSimultaneousConnectsNeitherFillTheQueueNorStarveASubscriber) {
     addEndpoints(300);
     Client& live = addJoinedClient(0);
     for (std::uint16_t proxy = 1; proxy <= 300; ++proxy) addClient(proxy);
@@ -102,7 +104,7 @@
     for (; rounds < 200; ++rounds) {
         runBatch([&] { setWeight(0, 5, 10 + static_cast<double>(rounds)); });
         live.receive();
-        EXPECT_TRUE(isUpToDate(live, 0)) << rounds; // changes go on while they catch up
+        EXPECT_TRUE(isUpToDate(live, 0)) << rounds; // still receives changes while the others catch up
         bool haveAllTables = true;
         for (const auto& client : clients) {
             client->receive(3000);
@@ -117,7 +119,7 @@
               0.75 * flowControlLimits.maxQueuedLines);
 }
 
-TEST_F(SubscriptionFlowTest, AnExclusionReachesAllWhileAThirdAreInResync) {
+TEST_F(SubscriptionFlowTest, AnExclusionReachesAllSubscribersWhileAThirdOfThemAreInResync) {
     constexpr std::size_t kClients = 90;
     addEndpoints(300);
     addClients(kClients);
@@ -129,7 +131,7 @@
         setExcluded(8, true);
         setWeight(0, 8, 0);
     });
-    for (const auto& client : clients) client->receive(8 * 1024); // as much as arrives at once
+    for (const auto& client : clients) client->receive(8 * 1024); // one read of limited size each
     std::size_t notified = 0;
     for (const auto& client : clients) notified += client->replica().isExcluded("s-8", now);
     EXPECT_EQ(notified, clients.size());
--- a/tests/subscription_server_test.cpp
+++ b/tests/subscription_server_test.cpp
@@ -1,4 +1,5 @@
-// SubscriptionServer: what subscribers are sent, and from where they resume.
+// Tests of the messages that SubscriptionServer sends to subscribers and of the position from which they
+// resume.
 #include "pubsub/subscription_server.h"
 
 #include <gtest/gtest.h>
@@ -61,12 +62,12 @@
     for (const auto& client : clients) EXPECT_TRUE(isUpToDate(*client, 0));
 }
 
-TEST_F(SubscriptionServerTest, AReconnectInTheMiddleOfAChangeResumesFromThePositionHeld) {
+TEST_F(SubscriptionServerTest, AReconnectBeforeAChangeIsReadResumesFromThePositionHeld) {
     addEndpoints(200);
     Client& client = addJoinedClient(3);
     const auto snapshots = counted(Counter::Snapshots);
     runBatch([&] { setWeight(0, 1, 8); });
-    client.disconnect(); // the change is on its way
+    client.disconnect(); // the change has been sent but not read
     runBatch([&] {
         setWeight(0, 2, 8);
         setWeight(0, 3, 0);
@@ -81,10 +82,10 @@
     EXPECT_EQ(planner.acknowledgedBarriers.back(), BarrierId{lastBarrier});
 }
 
-TEST_F(SubscriptionServerTest, ASnapshotOlderThanAppliedChangesUndoesNothing) {
+TEST_F(SubscriptionServerTest, ASnapshotOlderThanAppliedChangesIsIgnored) {
     addEndpoints(20);
     Client& client = addJoinedClient(3);
-    std::string oldBytes; // with a snapshot that was encoded early and arrives late
+    std::string oldBytes; // contains a snapshot encoded before the changes below and delivered after them
     {
         Client observer(*this, std::nullopt, "a");
         observer.connect();
@@ -108,7 +109,7 @@
     EXPECT_TRUE(isUpToDate(client, 0));
 }
 
-TEST_F(SubscriptionServerTest, APositionThatTheLogNoLongerCoversGetsASnapshot) {
+TEST_F(SubscriptionServerTest, ASubscriberAtAPositionThatTheLogNoLongerCoversGetsASnapshot) {
     addEndpoints(30);
     Client& client = addJoinedClient(3);
     client.disconnect();
@@ -125,7 +126,7 @@
     EXPECT_LE(server->log(topic)->tombstones(), maxTombstones);
 }
 
-TEST_F(SubscriptionServerTest, APlannerThatRestartsHasAnotherEpochAndLowerSequencesAndIsFollowed) {
+TEST_F(SubscriptionServerTest, ASubscriberFollowsARestartedPlannerWithANewEpochAndLowerSequences) {
     addEndpoints(30);
     for (int k = 0; k < 9; ++k) runBatch([&] { setWeight(0, 1, 2 + k); });
     Client& client = addJoinedClient(3);
@@ -137,17 +138,18 @@
     const auto before = *client.replica().at(topicOf(tableOf(0)));
     restart();
     client.connect();
-    EXPECT_NE(client.table(), nullptr); // kept until the new one is complete
+    EXPECT_NE(client.table(), nullptr); // the old table is kept until the new one is complete
     runBatch([&] { setWeight(0, 2, 0); });
     runUntilQuiet();
     EXPECT_LT(*client.replica().at(topicOf(tableOf(0))), before);
     EXPECT_EQ(client.table()->weights, expectedWeights(0));
-    EXPECT_TRUE(client.replica().isExcluded("s-4", now)); // the new incarnation has not heard of it
+    // The new incarnation does not know this exclusion. The client keeps it until it expires.
+    EXPECT_TRUE(client.replica().isExcluded("s-4", now));
     now += 11s;
     EXPECT_FALSE(client.replica().isExcluded("s-4", now));
 }
 
-TEST(TwoSubscriptionServers, ASubscriberMovesBetweenPlannersWithoutGoingBack) {
+TEST(TwoSubscriptionServers, ASubscriberThatSwitchesPlannersReplacesItsTable) {
     PubsubHarness first;
     PubsubHarness second;
     second.incarnation = 9;
@@ -185,7 +187,7 @@
     EXPECT_TRUE(isUpToDate(client, 0));
 }
 
-TEST_F(SubscriptionServerTest, ATopicOfAThousandEndpointsIsSentInPartsAndOneChangeOfItIsSmall) {
+TEST_F(SubscriptionServerTest, ATopicOfAThousandEndpointsIsSentInPartsAndAChangeOfOneEndpointIsASmallFrame) {
     flowControlLimits.maxQueuedLines = 20000;
     server.reset();
     startServer();
@@ -200,7 +202,7 @@
     EXPECT_TRUE(isUpToDate(client, 0));
 }
 
-TEST_F(SubscriptionServerTest, AnObserverIsNoProxyAndFollowsTheTablesOfItsZonesProxies) {
+TEST_F(SubscriptionServerTest, AnObserverDoesNotJoinAsAProxyAndFollowsTheTablesOfItsZonesProxies) {
     addEndpoints(5);
     Client& observer = addClient(std::nullopt);
     runUntilQuiet();
@@ -218,7 +220,7 @@
     EXPECT_EQ(planner.acknowledgedBarriers.back(), BarrierId{lastBarrier});
 }
 
-TEST_F(SubscriptionServerTest, AForgottenEndpointMayReturnUnderItsNameAndIsUsed) {
+TEST_F(SubscriptionServerTest, AForgottenEndpointThatReturnsUnderTheSameNameIsEligible) {
     addEndpoints(5);
     Client& client = addJoinedClient(3);
     runBatch([&] {
@@ -240,7 +242,7 @@
     EXPECT_TRUE(std::ranges::any_of(eligible, [](const auto& line) { return line.endpoint == "s-2"; }));
 }
 
-/// One random step of the property below.
+/// Performs one random step of the property below.
 void performRandomStep(PubsubHarness& harness, std::mt19937& random) {
     const auto below = [&](std::size_t limit) { return static_cast<std::size_t>(random() % limit); };
     auto& client = *harness.clients[below(harness.clients.size())];
@@ -265,10 +267,10 @@
     case 7: client.receive(1 + below(400)); break;
     case 8: harness.runOneSecond(below(2)); break;
     case 9: {
-        Frame ask{FrameType::Ask};
-        ask.topic = {static_cast<std::uint16_t>(below(3))};
-        ask.epoch = harness.server->epoch();
-        client.send(encodeFrame(ask, false));
+        Frame request{FrameType::Ask};
+        request.topic = {static_cast<std::uint16_t>(below(3))};
+        request.epoch = harness.server->epoch();
+        client.send(encodeFrame(request, false));
         break;
     }
     case 10: harness.runUntilQuiet(); break;
@@ -277,9 +279,9 @@
     }
 }
 
-/// Any interleaving of changes, disconnects, stalls, slow reads, requests, restarts and time ends with every replica
-/// equal to the log; the queue stays bounded and no endpoint is used that is known to be excluded
-/// (PubsubHarness::checkInvariants).
+/// After any interleaving of changes, disconnects, stalls, slow reads, snapshot requests, restarts and
+/// passing time, every replica converges to the log. Throughout, the queue stays bounded and no replica uses
+/// an endpoint that it knows to be excluded (PubsubHarness::checkInvariants).
 RC_GTEST_PROP(SubscriptionServerProperty, EveryReplicaEndsEqualToItsTable, ()) {
     constexpr std::size_t kProxies = 12;
     const auto zoneOf = [](std::size_t proxy) -> std::size_t { return proxy % 3 ? 0 : 1; };
@@ -302,7 +304,7 @@
         harness.runUntilQuiet();
         harness.runOneSecond();
     }
-    harness.now += 11s; // exclusions announced by an earlier incarnation alone have expired
+    harness.now += 11s; // exclusions announced only by an earlier incarnation have expired
     for (std::size_t index = 0; index < harness.clients.size(); ++index) {
         const std::size_t zone = index < kProxies ? zoneOf(index) : 0;
         RC_ASSERT(harness.isUpToDate(*harness.clients[index], zone));
--- a/tests/subscription_session_test.cpp
+++ b/tests/subscription_session_test.cpp
@@ -1,4 +1,4 @@
-// Sessions of SubscriptionServer: refusals, protocol errors, replacement, leases, suspension.
+// Tests of SubscriptionServer's sessions: refusals, protocol errors, replacement, leases and suspension.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -13,8 +13,8 @@
 using namespace std::chrono_literals;
 
 struct SubscriptionSessionTest : tests::SubscriptionServerFixture {
-    /// The reason for which a greeting is refused; empty where it is accepted.
-    std::string refusalOf(const Hello& hello) {
+    /// Returns the reason for which the hello is refused, or an empty string if it is accepted.
+    std::string refusalReason(const Hello& hello) {
         Client client(*this, 1, "a");
         client.connection = std::make_shared<Connection>(*this);
         Frame frame{FrameType::Hello};
@@ -55,7 +55,7 @@
     EXPECT_EQ(server->flowControl().lines(), 0U);
 }
 
-TEST_F(SubscriptionSessionTest, TheNewestSessionOfAProxyWinsAndTheLateEndOfTheOldOneIsNoLeaving) {
+TEST_F(SubscriptionSessionTest, ANewSessionOfAProxyReplacesTheOldOneWhoseLateEndDoesNotMakeTheProxyLeave) {
     addEndpoints(5);
     Client& old = addJoinedClient(3);
     old.isStalled = true;
@@ -72,32 +72,32 @@
     EXPECT_FALSE(planner.joined.contains({3}));
 }
 
-TEST_F(SubscriptionSessionTest, AGreetingThatCannotBeServedIsRefusedWithAReason) {
+TEST_F(SubscriptionSessionTest, AHelloThatCannotBeServedIsRefusedWithAReason) {
     Hello hello;
     hello.zone = "a";
     hello.proxy = ProxyId{3};
-    EXPECT_EQ(refusalOf(hello), "");
+    EXPECT_EQ(refusalReason(hello), "");
     hello.zone = "zz";
-    EXPECT_EQ(refusalOf(hello), "no such zone: zz");
+    EXPECT_EQ(refusalReason(hello), "no such zone: zz");
     hello.zone = "a";
     hello.proxy = ProxyId{2000};
-    EXPECT_EQ(refusalOf(hello), "no such proxy: 2000");
+    EXPECT_EQ(refusalReason(hello), "no such proxy: 2000");
     hello.proxy = ProxyId{3};
     hello.minVersion = 2;
     hello.maxVersion = 4;
-    EXPECT_NE(refusalOf(hello).find("speaks 1, it was asked for 2 to 4"), std::string::npos);
-    hello.minVersion = 0; // a range that holds ours
-    EXPECT_EQ(refusalOf(hello), "");
+    EXPECT_NE(refusalReason(hello).find("speaks 1, it was asked for 2 to 4"), std::string::npos);
+    hello.minVersion = 0; // 0 to 4 includes the supported version
+    EXPECT_EQ(refusalReason(hello), "");
     EXPECT_TRUE(planner.joined.empty());
 }
 
-TEST_F(SubscriptionSessionTest, ConnectionsThatViolateTheProtocolAreClosedAndDisturbNobody) {
+TEST_F(SubscriptionSessionTest, ConnectionsThatViolateTheProtocolAreClosedWithoutAffectingOtherSessions) {
     addEndpoints(5);
     Client& healthy = addJoinedClient(3);
-    const std::string goodbye = healthy.subscription.farewell("x");
+    const std::string farewell = healthy.subscription.farewell("x");
     for (const std::string& bytes :
          {std::string("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), std::string(5000, '\xff'),
-          std::string(5000, '\0'), goodbye, encodeFrame(frameOf(FrameType::Applied), false),
+          std::string(5000, '\0'), farewell, encodeFrame(frameOf(FrameType::Applied), false),
           encodeFrame(frameOf(FrameType::Hello, "\xa0"), false),
           encodeFrame(frameOf(FrameType{77}), false)}) {
         Client violator(*this, 9, "a");
@@ -110,14 +110,14 @@
     runUntilQuiet();
     EXPECT_TRUE(isUpToDate(healthy, 0));
     EXPECT_EQ(planner.joined.size(), 1U);
-    // After the greeting, frames of a later version of the protocol are ignored.
+    // After the hello, frames of an unknown type are ignored, since a later protocol version may send them.
     healthy.send(encodeFrame(frameOf(FrameType{77}), false));
     EXPECT_TRUE(planner.joined.contains({3}));
     healthy.send(std::string(5000, '\xff'));
     EXPECT_FALSE(planner.joined.contains({3}));
 }
 
-TEST_F(SubscriptionSessionTest, SuspensionTellsEverySubscriberWhenToReconnectAndSpreadsThem) {
+TEST_F(SubscriptionSessionTest, SuspensionSendsSubscribersDistinctRetryDelaysAndTheyCatchUpAfterResume) {
     constexpr std::uint16_t kClients = 100;
     addEndpoints(5);
     addClients(kClients);
@@ -132,7 +132,7 @@
         delays.insert(client->subscription.disconnectNotice()->retryAfter.value());
     }
     EXPECT_EQ(delays.size(), 100U);
-    EXPECT_NE(clients[0]->table(), nullptr); // they go on with the tables that they have
+    EXPECT_NE(clients[0]->table(), nullptr); // clients keep using the tables they have received
     server->resume();
     runBatch([&] { setWeight(0, 2, 5); });
     for (const auto& client : clients) client->connect();
