--- a/tests/pubsub_harness.h
+++ b/tests/pubsub_harness.h
@@ -1,5 +1,6 @@
-// A planner's pub-sub channel without sockets: routing state, server and any number of clients on in-memory connections
-// that a test can cut, stall and slow down, under a clock that the test moves. Invariants are checked after every step.
+// Test harness for the pub-sub channel without sockets: routing state, server and any number of clients on
+// in-memory connections that a test can close, stall and slow down, with a clock that the test advances. The
+// invariants are checked after every batch, every round of reads and every simulated second.
 #pragma once
 
 #include <algorithm>
@@ -20,22 +21,23 @@
 
 using namespace std::chrono_literals;
 
-/// Assigns every proxy that joins to the table of its zone, and records what it is told.
+/// Test double of the planner. Records its inputs and the proxies that have joined but have no table yet,
+/// which PubsubHarness::runBatch assigns to the table of their zone.
 struct ZoneTablePlanner : Planner {
-    std::map<ProxyId, ZoneId> unassigned;
+    std::map<ProxyId, ZoneId> unassignedProxies;
     std::set<ProxyId> joined;
     std::vector<BarrierId> acknowledgedBarriers;
-    std::vector<std::string> inputs;
+    std::vector<std::string> inputs; ///< joins, leaves and demand reports as text, in order of arrival
 
     void beginBatch(Micros) override {}
     void updateEndpoints(EndpointListUpdate, std::span<const EndpointUpdate>) override {}
     void proxyJoined(ProxyId proxy, ZoneId zone, double, bool onlyBootstrapTable) override {
-        unassigned[proxy] = zone;
+        unassignedProxies[proxy] = zone;
         joined.insert(proxy);
         inputs.push_back("joined " + std::to_string(proxy.value) + (onlyBootstrapTable ? " fresh" : ""));
     }
     void proxyLeft(ProxyId proxy) override {
-        unassigned.erase(proxy);
+        unassignedProxies.erase(proxy);
         joined.erase(proxy);
         inputs.push_back("left " + std::to_string(proxy.value));
     }
@@ -50,9 +52,11 @@
     void decide() override {}
 };
 
+/// A planner's pub-sub server with in-memory clients. The server uses the values that `flowControlLimits`,
+/// `leases`, `incarnation` and `maxTombstones` have when it is started.
 struct PubsubHarness {
     static constexpr std::size_t kZones = 2;
-    static constexpr std::size_t kMaxQueuedBytes = 64 * 1024; ///< of one connection
+    static constexpr std::size_t kMaxQueuedBytes = 64 * 1024; ///< per connection, from server to client
     static constexpr std::size_t kReadAll = 1 << 20;
     static constexpr std::uint32_t kProxyCount = 2000;
 
@@ -68,12 +72,12 @@
     std::size_t maxTombstones = 50;
     std::unique_ptr<pubsub::SubscriptionServer> server;
     std::uint16_t lastBarrier = 0;
-    std::vector<std::string> violations;
-    /// Excluded endpoints, and the sequence of this incarnation from which on each is excluded.
+    std::vector<std::string> violations; ///< violated invariants, in order of detection
+    /// The excluded endpoints and the sequence, in this incarnation, from which each is excluded.
     std::map<std::string, pubsub::Sequence> excludedSince;
     enum class Direction { ToSubscriber, FromSubscriber };
-    /// Called with everything that is written to a connection by either side, if it is set. Connections are numbered
-    /// in the order in which they were opened.
+    /// If set, called with all bytes that either side writes to a connection. Connections are numbered in the
+    /// order in which they were opened.
     std::function<void(std::size_t connection, Direction, std::string_view bytes)> onBytes;
     std::size_t connectionsOpened = 0;
 
@@ -81,6 +85,7 @@
     ~PubsubHarness() {
         for (auto& connection : connections) connection->end();
     }
+    /// Starts a server with the current limits and incarnation, replacing the previous one if one is running.
     void startServer() {
         const pubsub::ServerConfig config{
             "n1", pubsub::Epoch{incarnation}, kProxyCount, flowControlLimits, leases, maxTombstones};
@@ -89,7 +94,8 @@
             [this] { return now; });
     }
 
-    /// One connection: what the server has written and the client has not read, and the other way.
+    /// An in-memory connection. Holds the bytes that the server has written and the client has not read.
+    /// Bytes from the client are handled by the server immediately.
     struct Connection : pubsub::FrameTarget {
         explicit Connection(PubsubHarness& owner)
             : harness(owner), number(owner.connectionsOpened++),
@@ -106,6 +112,7 @@
             if (isOpen) toClient += farewell;
             isOpen = false;
         }
+        /// Closes the connection from the client's side and reports the end of the session to the server.
         void end() {
             isOpen = false;
             if (subscriber) harness.server->sessionClosed(*std::exchange(subscriber, nullptr));
@@ -119,6 +126,7 @@
     };
     std::vector<std::shared_ptr<Connection>> connections;
 
+    /// A subscriber or an observer with at most one connection to the harness's server.
     struct Client {
         Client(PubsubHarness& owner, std::optional<std::uint16_t> proxy, std::string zone)
             : harness(&owner),
@@ -126,7 +134,7 @@
         PubsubHarness* harness;
         client::Subscription subscription;
         std::shared_ptr<Connection> connection;
-        bool isStalled = false;
+        bool isStalled = false; ///< if true, `receive` reads nothing
 
         void connect() {
             if (connection) disconnect();
@@ -151,7 +159,8 @@
             });
             if (fault && from->subscriber) harness->server->protocolError(*from->subscriber, *fault);
         }
-        /// Reads at most so many bytes; reconnects where the session has ended.
+        /// Reads up to `maxBytes`, unless the client is stalled. Disconnects if the session has ended, and
+        /// then connects again if `reconnects` is set.
         void receive(std::size_t maxBytes = kReadAll, bool reconnects = true) {
             if (!connection || isStalled) return;
             const std::string received = connection->toClient.substr(0, maxBytes);
@@ -161,13 +170,13 @@
             disconnect();
             if (reconnects) connect();
         }
-        bool hasUnread() const { return connection && !connection->toClient.empty(); }
+        bool hasUnreadBytes() const { return connection && !connection->toClient.empty(); }
         const pubsub::Replica& replica() const { return subscription.replica(); }
         const pubsub::RoutingTable* table() const { return replica().tableOf("lookup"); }
     };
     std::vector<std::unique_ptr<Client>> clients;
 
-    /// A client that has connected; without a proxy, an observer.
+    /// Adds a client and connects it. A client without a proxy is an observer.
     Client& addClient(std::optional<std::uint16_t> proxy, std::string zone = "a") {
         clients.push_back(std::make_unique<Client>(*this, proxy, std::move(zone)));
         clients.back()->connect();
@@ -176,10 +185,11 @@
     static TableId tableOf(std::size_t zone) { return {static_cast<std::uint16_t>(zone)}; }
     static std::string endpointName(int number) { return "s-" + std::to_string(number); }
     EndpointId endpoint(int number) { return names.registerEndpoint(endpointName(number)); }
-    /// One batch of the planner: orders, assignment of those that joined, a barrier.
-    void runBatch(const std::function<void()>& orders = {}) {
-        if (orders) orders();
-        for (const auto& [proxy, zone] : std::exchange(planner.unassigned, {}))
+    /// Runs one batch of the planner: applies the changes, assigns tables to the proxies that have joined,
+    /// requests a barrier.
+    void runBatch(const std::function<void()>& changes = {}) {
+        if (changes) changes();
+        for (const auto& [proxy, zone] : std::exchange(planner.unassignedProxies, {}))
             routingState.assignTable(proxy, 0, tableOf(zone.value));
         ++lastBarrier;
         routingState.requestBarrier({lastBarrier}, false);
@@ -196,22 +206,24 @@
         else
             excludedSince.erase(endpointName(number));
     }
-    /// Every client reads and acknowledges until nothing is left to read.
+    /// Lets every client read and acknowledge until only stalled clients have unread bytes. Records a
+    /// violation if that takes more than kMaxRounds.
     void runUntilQuiet() {
         constexpr int kMaxRounds = 400;
         for (int round = 0; round < kMaxRounds; ++round) {
             bool hasProgress = false;
             for (auto& client : clients) {
-                hasProgress |= client->hasUnread() && !client->isStalled;
+                hasProgress |= client->hasUnreadBytes() && !client->isStalled;
                 client->receive();
             }
             routingState.flush(now);
             checkInvariants();
             if (!hasProgress) return;
         }
-        violations.emplace_back("nothing settles");
+        violations.emplace_back("clients still have unread bytes after " + std::to_string(kMaxRounds) +
+                                " rounds");
     }
-    /// A second passes: heartbeats, leases, acknowledgment timeouts.
+    /// Advances the clock by one second with its heartbeats, lease checks and acknowledgment timeouts.
     void runOneSecond(bool isReading = true) {
         for (std::uint32_t k = 0; k < pubsub::SubscriptionServer::kTicksPerHeartbeat; ++k) {
             now += 100ms;
@@ -223,7 +235,7 @@
         }
         checkInvariants();
     }
-    /// The planner is killed; another incarnation starts with the same tables and no exclusions.
+    /// Simulates a planner that is killed: a new incarnation starts with the same tables and no exclusions.
     void restart() {
         for (auto& client : clients) client->disconnect();
         for (auto& connection : std::exchange(connections, {})) connection->end();
@@ -235,6 +247,7 @@
         startServer();
     }
 
+    /// The weights in the zone's table, by endpoint name. Empty if the zone has no table.
     std::map<std::string, double> expectedWeights(std::size_t zone) const {
         std::map<std::string, double> expected;
         const auto found = routingState.tables().find(tableOf(zone));
@@ -253,27 +266,30 @@
             return client.replica().isExcluded(item.first, now) == isExcluded;
         });
     }
+    /// Records the violation unless the condition holds.
     void expect(bool holds, const char* violation) {
         if (!holds) violations.emplace_back(violation);
     }
+    /// Checks that the queues are within their limits and that no replica of this epoch uses an endpoint that
+    /// it knows to be excluded.
     void checkInvariants() {
         const std::size_t lines = server->flowControl().lines() + routingState.unacknowledgedLines();
         expect(static_cast<double>(lines) <= 0.95 * flowControlLimits.maxQueuedLines,
-               "short queue: too many lines wait");
+               "queued and unacknowledged lines exceed 95 % of maxQueuedLines");
         for (const auto& connection : connections)
             expect(connection->toClient.size() <= 3 * flowControlLimits.maxBytesPerSubscriber + 4096,
-                   "too much waits for one subscriber");
+                   "bytes queued to one subscriber exceed 3 * maxBytesPerSubscriber + 4096");
         for (const auto& client : clients)
             if (client->replica().epoch() == server->epoch()) checkExclusions(client->replica());
     }
-    /// No endpoint may be used that the replica knows to be excluded.
+    /// Checks that no endpoint is eligible that the replica knows to be excluded.
     void checkExclusions(const pubsub::Replica& replica) {
         const auto known = replica.at(pubsub::kExclusionsTopic);
         for (const auto& [topic, table] : replica.tables())
             for (const auto& [name, weight] : replica.eligibleEndpoints(table, now)) {
                 const auto excluded = excludedSince.find(name);
                 expect(excluded == excludedSince.end() || !known || *known < excluded->second,
-                       "drains kept: a server is picked that is known to be withdrawn");
+                       "an endpoint is eligible that the replica knows to be excluded");
             }
     }
 };
