--- a/src/planner/capacity_ledger.cpp
+++ b/src/planner/capacity_ledger.cpp
@@ -14,11 +14,11 @@
 constexpr double kCapacityHeadroom = 1.2;
 
 /// Mean listed weight of the in-service endpoints that have served requests; 0 if there are none.
-double meanListedWeightOfReporting(const EndpointRegistry& endpoints) {
+double meanListedWeightOfSuccessful(const EndpointRegistry& endpoints) {
     double weight = 0;
     double count = 0;
     for (EndpointIndex index = 0; index < endpoints.size(); ++index) {
-        if (!endpoints.isInService(index) || !endpoints.hasReported[index]) continue;
+        if (!endpoints.isInService(index) || !endpoints.hasSucceeded[index]) continue;
         weight += endpoints.listedWeight[index];
         ++count;
     }
@@ -29,11 +29,11 @@
 
 CapacityLedger::CapacityLedger(const EndpointRegistry& endpoints, double totalDemand)
     : capacity_(endpoints.size(), 0), load_(endpoints.size(), 0) {
-    const double meanWeight = meanListedWeightOfReporting(endpoints);
+    const double meanWeight = meanListedWeightOfSuccessful(endpoints);
     for (EndpointIndex index = 0; index < endpoints.size(); ++index) {
         // The listed weight of an endpoint that has not served a request yet is not trusted: the mean weight
         // takes its place.
-        const bool isTrusted = endpoints.hasReported[index] || meanWeight <= 0;
+        const bool isTrusted = endpoints.hasSucceeded[index] || meanWeight <= 0;
         const double correction = isTrusted ? 1 : meanWeight / endpoints.listedWeight[index];
         capacity_[index] = targetWeight(endpoints, index) * correction;
     }
--- a/src/planner/endpoint_registry.cpp
+++ b/src/planner/endpoint_registry.cpp
@@ -53,7 +53,7 @@
     consecutiveProbeSuccesses.emplace_back();
     excluded.emplace_back();
     excludedAt.emplace_back();
-    hasReported.emplace_back();
+    hasSucceeded.emplace_back();
     attempts.emplace_back();
     failures.emplace_back();
     latencySum.emplace_back();
@@ -79,7 +79,7 @@
     consecutiveProbeSuccesses[endpoint] = 0;
     excluded[endpoint] = 0;
     excludedAt[endpoint] = Micros{};
-    hasReported[endpoint] = 0;
+    hasSucceeded[endpoint] = 0;
     attempts[endpoint] = 0;
     failures[endpoint] = 0;
     latencySum[endpoint] = 0;
--- a/src/planner/endpoint_registry.h
+++ b/src/planner/endpoint_registry.h
@@ -52,7 +52,7 @@
     std::vector<char> excluded;     ///< excluded from all tables, inherited ones included
     std::vector<Micros> excludedAt; ///< when the exclusion was last ordered
 
-    std::vector<char> hasReported;  ///< an attempt has succeeded since it was added to service
+    std::vector<char> hasSucceeded; ///< an attempt has succeeded since it was added to service
     std::vector<double> attempts;   ///< decayed count from load reports
     std::vector<double> failures;   ///< decayed count of failed attempts, from load reports
     std::vector<double> latencySum; ///< decayed sum of the latencies of successful attempts, in seconds
--- a/src/planner/message_ledger.cpp
+++ b/src/planner/message_ledger.cpp
@@ -26,7 +26,7 @@
 
 void MessageLedger::chargeTable(const PlannedTable& table, double lines) {
     for (auto& [id, proxy] : proxies_)
-        if (table.serves(proxy)) stage(proxy, lines);
+        if (table.isHeldBy(proxy)) stage(proxy, lines);
 }
 
 void MessageLedger::chargeInheritedTables(double bootstrapProbability, Micros joinedAfter) {
--- a/src/planner/outlier_detection.cpp
+++ b/src/planner/outlier_detection.cpp
@@ -117,7 +117,7 @@
     const double failures = std::min(report.failures, report.attempts);
     const double successes = report.attempts - failures;
     hasNewReports_ = true;
-    if (successes > 0) endpoints_.hasReported[endpoint] = 1;
+    if (successes > 0) endpoints_.hasSucceeded[endpoint] = 1;
     reportingZones_.insert(report.proxyZone);
     ++reportCount_;
     attemptCount_ += report.attempts;
@@ -228,12 +228,12 @@
     HealthState& health = endpoints_.health[endpoint];
     const auto* row =
         findTransition(kHealthTransitions, health, [event](HealthEvent input) { return input == event; });
-    if (!row || (row->effect == HealthAction::Eject && !mayEject(endpoint))) return;
+    if (!row || (row->action == HealthAction::Eject && !mayEject(endpoint))) return;
     reportTransition(endpoint, row->next);
     if (row->next == HealthState::Removed && health != HealthState::Removed)
         endpoints_.healthChangedAt[endpoint] = now;
     health = row->next;
-    perform(row->effect, endpoint, now);
+    perform(row->action, endpoint, now);
 }
 
 void OutlierDetector::reportTransition(EndpointIndex endpoint, HealthState next) {
@@ -261,7 +261,7 @@
         // otherwise slow start.
         const bool isStartup = slowStart_.warmUpFraction(endpoint, now) >= 1 && reportCount_ <= 0;
         step = isStartup ? kSlowStartSteps : 1;
-        endpoints_.hasReported[endpoint] = 0;
+        endpoints_.hasSucceeded[endpoint] = 0;
         break;
     }
     case HealthAction::Readmit: step = 1; break; // the endpoint list announces a restart during the ejection
--- a/src/planner/planned_table.cpp
+++ b/src/planner/planned_table.cpp
@@ -5,7 +5,7 @@
 
 namespace zincstack {
 
-bool PlannedTable::serves(const Proxy& proxy) const {
+bool PlannedTable::isHeldBy(const Proxy& proxy) const {
     if (!subsetOf) return proxy.hasFullTable && proxy.zone == zone;
     return std::ranges::find(proxy.subsetTables, EndpointIndex{id.value}) != proxy.subsetTables.end();
 }
@@ -18,7 +18,7 @@
 double PlannedTable::demand(const ProxyRegistry& proxies) const {
     double sum = 0;
     for (const auto& [proxyId, proxy] : proxies) {
-        if (!serves(proxy)) continue;
+        if (!isHeldBy(proxy)) continue;
         for (EndpointIndex classIndex = 0; classIndex < proxy.demand.size(); ++classIndex)
             sum += requestClasses >> classIndex & 1U ? proxy.demand[classIndex] : 0;
     }
--- a/src/planner/planned_table.h
+++ b/src/planner/planned_table.h
@@ -34,7 +34,7 @@
     double holderRate = 0;
 
     /// Whether the proxy holds this table.
-    bool serves(const Proxy& proxy) const;
+    bool isHeldBy(const Proxy& proxy) const;
     /// Number of endpoints with a weight above 0.
     double endpointCount() const;
     /// Requests per second, in the table's request classes, of the proxies that hold it.
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -150,7 +150,7 @@
     // A sink that measures the channel defers by itself the updates that do not fit.
     const bool mayIssue = joinBudget > 0 || channel_.isMetered();
 
-    if (mayIssue) urgentUpdates_.order(channelIsIdle, now_);
+    if (mayIssue) urgentUpdates_.issueUrgentUpdates(channelIsIdle, now_);
     // In a depleted zone, inherited tables run out of endpoints: urgent updates must not use up the channel.
     if (joinBudget > 0 && (channelIsIdle || isAnyZoneDepleted())) assignment_.assignFullTables(joinBudget);
     if (channel_.isMetered()) assignment_.assignSubsetTables(now_);
@@ -200,8 +200,9 @@
 }
 
 bool PlannerImpl::isAnyZoneDepleted() const {
-    return std::ranges::any_of(
-        routing_.tables, [this](const PlannedTable& table) { return isDepleted(endpoints_, table.zone); });
+    return std::ranges::any_of(routing_.tables, [this](const PlannedTable& table) {
+        return isZoneDepleted(endpoints_, table.zone);
+    });
 }
 
 } // namespace
--- a/src/planner/routing_tables.cpp
+++ b/src/planner/routing_tables.cpp
@@ -72,12 +72,12 @@
 void RoutingTables::installWeight(PlannedTable& table, EndpointIndex index) {
     const double weight = targetWeightIn(table, index);
     if (weight > 0 && endpoints_.excluded[index]) setExcluded(index, false);
-    orderWeight(table, index, weight);
+    issueWeight(table, index, weight);
 }
 
 void RoutingTables::addEndpoint(PlannedTable& table, EndpointIndex index) {
     table.installedWeight.resize(endpoints_.size(), 0);
-    orderWeight(table, index, targetWeight(endpoints_, index));
+    issueWeight(table, index, targetWeight(endpoints_, index));
 }
 
 void RoutingTables::clear(PlannedTable& table) {
@@ -99,7 +99,7 @@
     endpoints_.excludedAt[index] = batchStartedAt_;
 }
 
-void RoutingTables::orderWeight(PlannedTable& table, EndpointIndex index, double weight) {
+void RoutingTables::issueWeight(PlannedTable& table, EndpointIndex index, double weight) {
     table.installedWeight[index] = weight;
     sink_.setWeight(table.id, endpoints_.id[index], weight);
     channel_.ledger.chargeTable(table, 1);
--- a/src/planner/routing_tables.h
+++ b/src/planner/routing_tables.h
@@ -55,7 +55,7 @@
     void setExcluded(EndpointIndex index, bool excluded);
 
 private:
-    void orderWeight(PlannedTable& table, EndpointIndex index, double weight);
+    void issueWeight(PlannedTable& table, EndpointIndex index, double weight);
 
     EndpointRegistry& endpoints_;
     ControlChannel& channel_;
--- a/src/planner/slow_start.cpp
+++ b/src/planner/slow_start.cpp
@@ -80,7 +80,7 @@
     const bool isWarmingUp = warmUp < 1;
     // The endpoint list can name endpoints that do not belong to the fleet, so a warm endpoint steps up only
     // after an attempt has succeeded there.
-    if (!endpoints_.hasReported[endpoint] && !isWarmingUp) return false;
+    if (!endpoints_.hasSucceeded[endpoint] && !isWarmingUp) return false;
     const int next = endpoints_.slowStartStep[endpoint] + 1;
     if (next > kSlowStartSteps * kWarmUpLeadFactor * warmUp) return false;
     const bool hasRateLimit = fleet.load.successRate > 0 && isWarmingUp;
--- a/src/planner/table_assignment.cpp
+++ b/src/planner/table_assignment.cpp
@@ -51,7 +51,7 @@
     proxy.hasFullTable = true;
     proxy.subsetTables.clear();
     for (const PlannedTable& table : routing_.tables) {
-        if (table.subsetOf || !table.serves(proxy)) continue;
+        if (table.subsetOf || !table.isHeldBy(proxy)) continue;
         sink_.assignTable(id, table.requestClasses, table.id);
         const auto otherLines = static_cast<double>(excludedCount + std::ssize(table.admission));
         channel_.ledger.stage(proxy, 1 + table.endpointCount() + otherLines);
--- a/src/planner/transition_table.h
+++ b/src/planner/transition_table.h
@@ -10,13 +10,13 @@
 
 namespace zincstack {
 
-/// One row of a transition table: in `state`, `input` leads to the state `next` and the action `effect`.
-template <class State, class Input, class Effect>
+/// One row of a transition table: in `state`, `input` leads to the state `next` and the action `action`.
+template <class State, class Input, class Action>
 struct Transition {
     State state;
     Input input;
     State next;
-    Effect effect;
+    Action action;
 };
 
 /// Returns the first row that matches `state` and whose input satisfies the predicate `hasOccurred`, or null
--- a/src/planner/update_scheduler.cpp
+++ b/src/planner/update_scheduler.cpp
@@ -64,7 +64,7 @@
     if (state_ == RoundState::AwaitingAck)
         for (PlannedTable& table : routing_.tables) table.rateLimitFraction = 1;
     state_ = transition->next;
-    switch (transition->effect) {
+    switch (transition->action) {
     case RoundAction::OpenWindow: windowOpenedAt_ = now; return true;
     case RoundAction::SendStep: executeStep(now); return false;
     case RoundAction::EndRound: return true;
@@ -92,9 +92,9 @@
     stepBarrier_ = {};
     std::vector<PendingOperation> operations = findPendingOperations();
     CapacityLedger ledger = makeCapacityLedger(operations);
-    const bool hasReleased = orderReleases(operations);
+    const bool hasReleased = issueReleases(operations);
     rankByReleases(operations);
-    const FitCheck fit = orderFittingAdditions(operations, ledger);
+    const FitCheck fit = issueFittingAdditions(operations, ledger);
     const bool isDeadlocked = !hasReleased && !fit.hasProgress && fit.leastLoss.operation;
     if (isDeadlocked) breakDeadlock(fit.leastLoss);
 }
@@ -138,13 +138,13 @@
 /// Orders the releases (first part of Algorithm 5, lines 3-11): removals without dependencies, which are
 /// those of tables without additions or without demand, and those of endpoints out of service. Returns true
 /// if at least one was ordered.
-bool UpdateScheduler::orderReleases(const std::vector<PendingOperation>& operations) {
+bool UpdateScheduler::issueReleases(const std::vector<PendingOperation>& operations) {
     bool hasProgress = false;
     for (const PendingOperation& operation : operations) {
         const bool isIndependent = operation.demand <= 0 || operation.additions.empty();
         for (const EndpointIndex index : operation.removals) {
             if (!isIndependent && endpoints_.isInService(index)) continue;
-            hasProgress |= orderUpdate(operation, index);
+            hasProgress |= issueUpdate(operation, index);
         }
     }
     return hasProgress;
@@ -160,7 +160,7 @@
 /// The fit check (second part of Algorithm 5, lines 3-11): orders additions while their endpoints have
 /// residual capacity.
 UpdateScheduler::FitCheck
-UpdateScheduler::orderFittingAdditions(const std::vector<PendingOperation>& operations,
+UpdateScheduler::issueFittingAdditions(const std::vector<PendingOperation>& operations,
                                        CapacityLedger& ledger) {
     FitCheck check;
     for (const PendingOperation& operation : operations) checkFit(operation, ledger, check);
@@ -180,7 +180,7 @@
         const double residual = ledger.residual(index);
         if (hasNoTraffic || addedRate <= residual) {
             ledger.reserve(index, addedRate);
-            check.hasProgress |= orderUpdate(operation, index);
+            check.hasProgress |= issueUpdate(operation, index);
         } else {
             fittingFraction = std::min(fittingFraction, std::max(residual, 0.0) / addedRate);
             blockedRate += addedRate;
@@ -200,14 +200,14 @@
     const double rateLimitFraction = 1 - leastLoss.lossRatio * leastLoss.requestRate / operation.demand;
     operation.table->rateLimitFraction = std::clamp(rateLimitFraction, 0.0, 1.0);
     reportDeadlock(*operation.table);
-    for (const EndpointIndex index : operation.additions) orderUpdate(operation, index);
+    for (const EndpointIndex index : operation.additions) issueUpdate(operation, index);
 }
 
 void UpdateScheduler::reportDeadlock(const PlannedTable& table) {
     sink_.report(UpdateDeadlock{table.id, table.rateLimitFraction});
 }
 
-bool UpdateScheduler::orderUpdate(const PendingOperation& operation, EndpointIndex index) {
+bool UpdateScheduler::issueUpdate(const PendingOperation& operation, EndpointIndex index) {
     if (channel_.spareLines(kBatchBudget) <= 0) return false;
     routing_.installWeight(*operation.table, index);
     return true;
--- a/src/planner/update_scheduler.h
+++ b/src/planner/update_scheduler.h
@@ -82,15 +82,15 @@
     std::vector<PendingOperation> findPendingOperations() const;
     PendingOperation compareWithTarget(PlannedTable& table) const;
     CapacityLedger makeCapacityLedger(const std::vector<PendingOperation>& operations) const;
-    bool orderReleases(const std::vector<PendingOperation>& operations);
+    bool issueReleases(const std::vector<PendingOperation>& operations);
     static void rankByReleases(std::vector<PendingOperation>& operations);
-    FitCheck orderFittingAdditions(const std::vector<PendingOperation>& operations, CapacityLedger& ledger);
+    FitCheck issueFittingAdditions(const std::vector<PendingOperation>& operations, CapacityLedger& ledger);
     void checkFit(const PendingOperation& operation, CapacityLedger& ledger, FitCheck& check);
     void breakDeadlock(const BlockedAdditions& leastLoss);
     void reportDeadlock(const PlannedTable& table);
 
     /// Orders the endpoint's target weight. Returns false if the channel has no capacity left for the update.
-    bool orderUpdate(const PendingOperation& operation, EndpointIndex index);
+    bool issueUpdate(const PendingOperation& operation, EndpointIndex index);
     double weightFraction(const PendingOperation& operation, EndpointIndex index) const;
 
     const EndpointRegistry& endpoints_;
--- a/src/planner/urgent_updates.cpp
+++ b/src/planner/urgent_updates.cpp
@@ -16,17 +16,17 @@
 
 } // namespace
 
-bool isDepleted(const EndpointRegistry& endpoints, ZoneId zone) {
+bool isZoneDepleted(const EndpointRegistry& endpoints, ZoneId zone) {
     return endpoints.excludedFraction(zone) >= kDepletedFraction;
 }
 
-void UrgentUpdates::order(bool channelIsIdle, Micros now) {
+void UrgentUpdates::issueUrgentUpdates(bool channelIsIdle, Micros now) {
     for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
         forgetIfUnreferenced(index, now);
         if (endpoints_.forgotten[index]) continue;
-        const bool outOfService = !endpoints_.isInService(index) && !endpoints_.excluded[index];
-        lowerWeights(index, outOfService, channelIsIdle, now);
-        if (outOfService) exclude(index);
+        const bool awaitsExclusion = !endpoints_.isInService(index) && !endpoints_.excluded[index];
+        lowerWeights(index, awaitsExclusion, channelIsIdle, now);
+        if (awaitsExclusion) exclude(index);
     }
     refillTablesWithoutUsableEndpoint();
 }
@@ -43,14 +43,14 @@
 /// An endpoint that is warming up can't carry its installed weight, so the weight is lowered immediately.
 /// That of any other endpoint in slow start (readmitted, or with a reduced weight) is lowered only while the
 /// channel is idle.
-void UrgentUpdates::lowerWeights(EndpointIndex index, bool outOfService, bool channelIsIdle, Micros now) {
+void UrgentUpdates::lowerWeights(EndpointIndex index, bool awaitsExclusion, bool channelIsIdle, Micros now) {
     const bool isWarmingUp = health_.warmUpFraction(index, now) < 1;
     const bool isInSlowStart = endpoints_.slowStartStep[index] < kSlowStartSteps;
     const bool mayLower = isWarmingUp || (channelIsIdle && isInSlowStart);
     for (PlannedTable& table : routing_.tables) {
         if (table.installedWeight[index] <= routing_.targetWeightIn(table, index)) continue;
-        const bool hasCapacity = outOfService ? channel_.hasDeadlineCapacity(channel_.broadcastLines())
-                                              : mayLower && channel_.spareLines(kBatchBudget) > 0;
+        const bool hasCapacity = awaitsExclusion ? channel_.hasDeadlineCapacity(channel_.broadcastLines())
+                                                 : mayLower && channel_.spareLines(kBatchBudget) > 0;
         if (hasCapacity) routing_.installWeight(table, index);
     }
 }
@@ -59,7 +59,7 @@
     // Only inherited tables still name the endpoint. They are short, so ejections must not remove their last
     // endpoints.
     const bool isEjected = endpoints_.health[index] == HealthState::Ejected;
-    if (isEjected && isDepleted(endpoints_, endpoints_.zone[index])) return;
+    if (isEjected && isZoneDepleted(endpoints_, endpoints_.zone[index])) return;
     if (channel_.hasDeadlineCapacity(channel_.broadcastLines())) routing_.setExcluded(index, true);
 }
 
--- a/src/planner/urgent_updates.h
+++ b/src/planner/urgent_updates.h
@@ -14,7 +14,7 @@
 
 /// Whether so many of the zone's endpoints are excluded that proxies with inherited tables may have no usable
 /// endpoint left.
-bool isDepleted(const EndpointRegistry& endpoints, ZoneId zone);
+bool isZoneDepleted(const EndpointRegistry& endpoints, ZoneId zone);
 
 /// Orders the urgent updates of each batch. The referenced objects must outlive it.
 class UrgentUpdates {
@@ -26,7 +26,7 @@
 
     /// Orders all urgent updates except repeated exclusions, and drops the state of endpoints that ended long
     /// ago.
-    void order(bool channelIsIdle, Micros now);
+    void issueUrgentUpdates(bool channelIsIdle, Micros now);
     /// Repeats earlier exclusions for proxies that have joined with an inherited table since. If hundreds of
     /// proxies join at the same time, not all can be assigned a table within the drain grace period.
     void repeatExclusions(bool channelIsIdle, Micros now);
@@ -36,7 +36,7 @@
     /// of the registry and saves the endpoint's lines whenever a proxy joins.
     void forgetIfUnreferenced(EndpointIndex index, Micros now);
     /// Lowers the endpoint's weight to its target in the tables where it is above.
-    void lowerWeights(EndpointIndex index, bool outOfService, bool channelIsIdle, Micros now);
+    void lowerWeights(EndpointIndex index, bool awaitsExclusion, bool channelIsIdle, Micros now);
     void exclude(EndpointIndex index);
     void refillTablesWithoutUsableEndpoint();
     /// Time of the last join of a proxy that still uses its inherited table; negative if there is none.
--- a/tests/update_scheduler_test.cpp
+++ b/tests/update_scheduler_test.cpp
@@ -11,7 +11,7 @@
 
 // Guards against updates for an endpoint that is added and removed within one window: both changes must merge
 // to no difference, so that only the draining endpoint is updated.
-TEST(UpdateScheduler, OrdersOnlyDifferencesAndARemovalCancelsItsPendingAddition) {
+TEST(UpdateScheduler, IssuesOnlyDifferencesAndARemovalCancelsItsPendingAddition) {
     const auto model = settledModel(6);
     model->updateEndpoint(9, EndpointState::Ready, 0us);
     model->updateEndpoint(9, EndpointState::Removed);
