--- a/src/planner/admission_control.cpp
+++ b/src/planner/admission_control.cpp
@@ -17,8 +17,8 @@
 /// Congestion (fraction of attempts) above which load shedding starts regardless of the offered work.
 constexpr double kSheddingCongestion = 0.3;
 
-/// Load shedding already starts above the target overload if the ratio of offered work to the best capacity
-/// is above this.
+/// Ratio of offered work to the best capacity above which load shedding starts as soon as the congestion
+/// exceeds kTargetOverload.
 constexpr double kDemandSurgeRatio = 1.2;
 
 /// Change of the capacity factor per second, per unit of difference between target overload and congestion.
@@ -48,7 +48,8 @@
 /// shortly after the start of the planner they cover few proxies, so the best capacity is far too low.
 constexpr double kMinReportCoverage = 0.8;
 
-/// Relative change of a limit up to which no line of the control channel is spent on it.
+/// Relative change of a limit up to which the limit is not issued again, to save lines of the control
+/// channel.
 constexpr double kMinAdmissionChange = 0.02;
 
 /// Rate limit of a proxy, in requests per second, that is too high to take effect.
--- a/src/planner/admission_control.h
+++ b/src/planner/admission_control.h
@@ -1,10 +1,10 @@
 // Admission control: determines the fraction of each request class that is admitted, and when proxies retry.
 //
 // While the whole fleet is overloaded, the admitted work is limited to the most work that the fleet has
-// completed, multiplied by a factor that follows the congestion observed since. The request class with the
-// lowest ratio of priority weight to latency objective is shed first. This works against every cause of
-// overload: more requests, more expensive requests, lost endpoints. It does harm if half of the fleet is slow
-// for a reason other than load.
+// completed, multiplied by a factor. The factor falls while the congestion observed since is above its target
+// and rises while it is below. The request class with the lowest ratio of priority weight to latency
+// objective is shed first. This works against every cause of overload: more requests, more expensive
+// requests, lost endpoints. It does harm if half of the fleet is slow for a reason other than load.
 //
 // Owns the admitted fractions; the limits last issued for a table are in its PlannedTable.
 #pragma once
--- a/src/planner/capacity_ledger.cpp
+++ b/src/planner/capacity_ledger.cpp
@@ -13,7 +13,7 @@
 /// capacities of endpoints are unknown, unlike those of the links in the paper.
 constexpr double kCapacityHeadroom = 1.2;
 
-/// Mean listed weight of the in-service endpoints that have served requests; 0 if there are none.
+/// Mean listed weight of the endpoints in service at which an attempt has succeeded; 0 if there are none.
 double meanListedWeightOfSuccessful(const EndpointRegistry& endpoints) {
     double weight = 0;
     double count = 0;
@@ -31,8 +31,8 @@
     : capacity_(endpoints.size(), 0), load_(endpoints.size(), 0) {
     const double meanWeight = meanListedWeightOfSuccessful(endpoints);
     for (EndpointIndex index = 0; index < endpoints.size(); ++index) {
-        // The listed weight of an endpoint that has not served a request yet is not trusted: the mean weight
-        // takes its place.
+        // The listed weight of an endpoint is not trusted until an attempt has succeeded there. Until then,
+        // the mean weight is used instead.
         const bool isTrusted = endpoints.hasSucceeded[index] || meanWeight <= 0;
         const double correction = isTrusted ? 1 : meanWeight / endpoints.listedWeight[index];
         capacity_[index] = targetWeight(endpoints, index) * correction;
--- a/src/planner/channel_credit.h
+++ b/src/planner/channel_credit.h
@@ -52,12 +52,14 @@
     void sessionEnded(ProxyId proxy);
     /// Charges a message, closed by the barrier, that has been handed to the proxy's stream.
     void messageWritten(ProxyId proxy, BarrierId barrier, double lines, Micros now);
-    /// Returns the credit of the message and of all messages written to the proxy before it, except of
-    /// those whose stream was found silent in the meantime: theirs returns like that of ended streams.
-    /// Returns false if the proxy has no unacknowledged message with this barrier.
+    /// Returns the credit of the message, of all messages written to the proxy before it, and of streams that
+    /// had ended or were found silent before it was written. Messages written to the proxy before its stream
+    /// was found silent are excepted: their credit returns like that of ended streams. Returns false if the
+    /// proxy has no unacknowledged message with this barrier.
     bool acknowledged(ProxyId proxy, BarrierId barrier);
-    /// Treats the lines written to silent streams like those of ended streams. The check runs at most once
-    /// per second; further calls have no effect.
+    /// Treats the lines written to silent streams like those of ended streams. A stream is silent if its
+    /// oldest unacknowledged message is much older than the newest one that any proxy has acknowledged. The
+    /// check runs at most once per second; further calls have no effect.
     void detectSilentSessions(Micros now);
 
     /// Lines that may still be in the channel.
@@ -69,7 +71,7 @@
         BarrierId barrier;
         double lines;
         Micros writtenAt;
-        bool isAwaited = true; // false: its stream is silent, its lines are counted in `ended_`
+        bool isAwaited = true; // false: its stream is silent, and its lines count in `ended_`
     };
     struct Stream {
         std::deque<Message> unacknowledged; // oldest first
--- a/src/planner/control_channel.h
+++ b/src/planner/control_channel.h
@@ -12,10 +12,12 @@
 
 namespace zincstack {
 
-/// Channel time, beyond the mean transit time, that queued updates may fill once a batch may issue updates:
-/// long enough for joins and rounds to progress, short enough that an urgent update is not delayed by more.
+/// Length of the queue up to which a batch may issue updates, as transmission time beyond the mean transit
+/// time. It is long enough for joins and rounds to progress, and delays an urgent update by no more than
+/// this.
 inline constexpr Micros kBatchBudget = std::chrono::milliseconds{500};
-/// The same, as the limit below which the channel counts as idle. Only then are updates issued that can wait.
+/// Length of the queue, in the same unit, below which the channel counts as idle. Updates that can wait are
+/// issued only then.
 inline constexpr Micros kIdleBudget = std::chrono::milliseconds{100};
 
 /// Paces the planner's updates, and closes its batches.
@@ -24,7 +26,7 @@
     ControlChannel(ProxyRegistry& proxies, RoutingUpdateSink& sink, const ControlChannelLimits& limits)
         : ledger(proxies, limits.messageOverheadLines), proxies_(proxies), sink_(sink), limits_(limits) {}
 
-    /// Accounts for the updates that the planner issues; the users of the channel charge it for each update.
+    /// Accounts for the updates that the planner issues. The module that issues an update charges it here.
     MessageLedger ledger;
 
     const ControlChannelLimits& limits() const { return limits_; }
@@ -34,9 +36,10 @@
     /// Whether the sink counts the encoded lines and enforces the limit of the queue. The planner then only
     /// paces itself.
     bool isMetered() const { return sink_.pendingLines().has_value(); }
-    /// Lines of a message with one update, sent to every proxy.
+    /// Total number of lines if a message with one update is sent to every proxy.
     double broadcastLines() const;
-    /// Whether urgent updates of this number of lines may be issued.
+    /// Whether urgent updates of this number of lines may be issued. Always true if the sink measures the
+    /// channel.
     bool hasDeadlineCapacity(double lines) const;
     /// Lines that updates which can wait may use, so that the queue stays within the mean transit time plus
     /// `budget` and within kOrdinaryQueueFraction. Not positive if the queue is longer already.
--- a/src/planner/endpoint_registry.cpp
+++ b/src/planner/endpoint_registry.cpp
@@ -1,3 +1,4 @@
+// Allocation and reuse of the entries of endpoints.
 #include "planner/endpoint_registry.h"
 
 namespace zincstack {
--- a/src/planner/endpoint_registry.h
+++ b/src/planner/endpoint_registry.h
@@ -50,7 +50,7 @@
     std::vector<int> consecutiveProbeSuccesses;
 
     std::vector<char> excluded;     ///< excluded from all tables, inherited ones included
-    std::vector<Micros> excludedAt; ///< when the exclusion was last ordered
+    std::vector<Micros> excludedAt; ///< when an exclusion or readmission was last issued
 
     std::vector<char> hasSucceeded; ///< an attempt has succeeded since it was added to service
     std::vector<double> attempts;   ///< decayed count from load reports
@@ -59,8 +59,8 @@
     std::vector<double> saturation; ///< smoothed fraction of attempts that fail or are late
     /// Requests in flight in its last report, or else its queue length, or 0 if the report has neither.
     std::vector<double> inFlight;
-    /// Fleet-wide counts at its last report, or since then at its addition to service, readmission or weight
-    /// reduction.
+    /// Fleet-wide counts of reports and attempts at the time of its last report, or of its last addition to
+    /// service, readmission or weight reduction if that was later.
     std::vector<double> fleetReportsAtLastReport;
     std::vector<double> fleetAttemptsAtLastReport;
 
--- a/src/planner/health_checks.cpp
+++ b/src/planner/health_checks.cpp
@@ -1,3 +1,4 @@
+// When probes are sent, and which health event follows from the result of a probe.
 #include "planner/health_checks.h"
 
 namespace zincstack {
@@ -10,7 +11,8 @@
 /// requests hang).
 constexpr int kProbesToReadmit = 2;
 
-/// Fraction of failed attempts from which an endpoint may hang; a fast answer to a probe then proves nothing.
+/// Fraction of failed attempts from which a suspect endpoint is assumed to hang, even if it answers probes
+/// fast.
 constexpr double kHangFailureRatio = 0.9;
 
 /// Probe latency that indicates a heavily loaded endpoint, as a fraction of the shortest latency objective.
@@ -86,8 +88,8 @@
            kHeavyLoadFactor * usualPerWeight * targetWeight(endpoints_, endpoint);
 }
 
-/// If some requests are still answered, a probe that only times out is a sign of load: the weight of such an
-/// endpoint is reduced instead of ejecting it.
+/// If some requests are still answered, a probe that only times out is a sign of load: such an endpoint gets
+/// a lower weight instead of being ejected.
 bool HealthChecker::isDead(EndpointIndex endpoint, const ProbeResult& result) const {
     if (result.status == ProbeStatus::Answered) return false;
     if (failsNearlyAllAttempts(endpoint)) return true;
--- a/src/planner/message_ledger.cpp
+++ b/src/planner/message_ledger.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-/// Age at which a message is assumed to have left the channel, acknowledged or not.
+/// Age at which a batch is assumed to have left the channel, acknowledged or not.
 constexpr Micros kBatchExpiry = 10s;
 /// The same for a batch that no proxy still has to acknowledge.
 constexpr Micros kUnawaitedBatchExpiry = 2s;
--- a/src/planner/outlier_detection.cpp
+++ b/src/planner/outlier_detection.cpp
@@ -1,3 +1,4 @@
+// The health state machine, and the evaluation of load reports that detects outliers.
 #include "planner/outlier_detection.h"
 
 #include <algorithm>
@@ -32,7 +33,8 @@
 /// zone reports once on each endpoint.
 constexpr double kSilentCycles = 3;
 
-/// Attempts that a silent endpoint should have got since its last report, according to its target weight.
+/// Attempts that an endpoint should have got since its last report, according to its target weight, before it
+/// can count as silent.
 constexpr double kSilentExpectedAttempts = 10;
 
 /// Minimum time that an endpoint stays ejected.
@@ -264,7 +266,7 @@
         endpoints_.hasSucceeded[endpoint] = 0;
         break;
     }
-    case HealthAction::Readmit: step = 1; break; // the endpoint list announces a restart during the ejection
+    case HealthAction::Readmit: step = 1; break; // a restart during the ejection comes as Restarted
     }
     restartObservation(endpoint, now);
 }
--- a/src/planner/outlier_detection.h
+++ b/src/planner/outlier_detection.h
@@ -62,8 +62,8 @@
     /// Applies an endpoint list. `isComplete`: endpoints that it does not name have been removed.
     void updateEndpoints(bool isComplete, std::span<const EndpointUpdate> entries, Micros now);
 
-    /// Adds a load report, with what the proxies of a zone measured at an endpoint. A report on an unknown
-    /// endpoint is ignored.
+    /// Adds a load report: the results of the attempts that the proxies of one zone sent to one endpoint. A
+    /// report on an unknown endpoint is ignored.
     void reportLoad(const EndpointLoadReport& report);
 
     /// Evaluates the load reports of each endpoint and of the fleet, once per report interval. Returns the
@@ -81,13 +81,13 @@
     /// Figures of the endpoints in service for which attempts were reported, weighted by their target weight.
     struct FleetSamples {
         std::vector<WeightedSample> saturation; ///< fraction of attempts that fail or are late
-        std::vector<WeightedSample> congestion; ///< the same, without failures next to fast answers
+        std::vector<WeightedSample> congestion; ///< the same, but failures count only if answers are slow
         double attempts = 0;
     };
     /// Fleet-wide figures that an endpoint is compared with.
     struct FleetBaseline {
         double totalTargetWeight;
-        double reportsPerCycle;   ///< reports in which each zone covers each endpoint once
+        double reportsPerCycle;   ///< number of reports if each zone reports once on each endpoint
         double healthySaturation; ///< saturation that the healthiest third of the weight does not exceed
     };
     FleetSamples collectSamples(double meanLatencyObjective, double elapsedSeconds);
--- a/src/planner/planned_table.cpp
+++ b/src/planner/planned_table.cpp
@@ -1,4 +1,4 @@
-// Which proxies a routing table serves, and the demand that they bring to it.
+// Which proxies hold a routing table, and the demand that they bring to it.
 #include "planner/planned_table.h"
 
 #include <algorithm>
--- a/src/planner/planned_table.h
+++ b/src/planner/planned_table.h
@@ -1,4 +1,4 @@
-// State of one routing table as last ordered by the planner, and the proxies that it serves.
+// State of one routing table as last issued by the planner, and the proxies that hold it.
 #pragma once
 
 #include <map>
@@ -17,10 +17,10 @@
     /// The table names only endpoints of its own zone.
     bool zoneLocal;
     RequestClassSet requestClasses;
-    /// Weight of each endpoint as last ordered, indexed by endpoint.
+    /// Weight of each endpoint as last issued, indexed by endpoint.
     std::vector<double> installedWeight = {};
-    /// Admission limit of each request class as last ordered, by index of the request class; negative until
-    /// one is ordered.
+    /// Admission limit of each request class as last issued, by index of the request class; negative until
+    /// one is issued.
     std::map<EndpointIndex, double> admission = {};
     /// For a full table: at least one proxy of its zone has joined.
     bool inUse = false;
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -30,7 +30,7 @@
 
 using namespace std::chrono_literals;
 
-/// Wake-up interval without inputs: gathering windows, slow start and health checks progress with time.
+/// Wake-up interval without inputs: coalescing windows, slow start and health checks progress with time.
 constexpr Micros kIdleInterval = 100ms;
 /// Factor per second by which older values decay in the exponential moving average of a proxy's demand.
 constexpr double kDemandDecay = 0.3;
@@ -151,7 +151,8 @@
     const bool mayIssue = joinBudget > 0 || channel_.isMetered();
 
     if (mayIssue) urgentUpdates_.issueUrgentUpdates(channelIsIdle, now_);
-    // In a depleted zone, inherited tables run out of endpoints: urgent updates must not use up the channel.
+    // In a depleted zone, proxies run out of usable endpoints in their inherited tables. They are then
+    // assigned full tables even if urgent updates keep the channel from being idle.
     if (joinBudget > 0 && (channelIsIdle || isAnyZoneDepleted())) assignment_.assignFullTables(joinBudget);
     if (channel_.isMetered()) assignment_.assignSubsetTables(now_);
     if (mayIssue) urgentUpdates_.repeatExclusions(channelIsIdle, now_);
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -54,8 +54,8 @@
     Micros drainGracePeriod{};       ///< time within which a draining endpoint must leave all tables
     double coldCapacityFraction = 0; ///< capacity of a newly started endpoint, as a fraction of its full one
     Micros warmUpDuration{};         ///< time from the start of an endpoint until it has its full capacity
-    double overloadFactor = 0;       ///< ratio of load to capacity that makes an endpoint fail...
-    Micros overloadDuration{};       ///< ...if it persists for this long
+    double overloadFactor = 0;       ///< ratio of load to capacity that makes an endpoint fail
+    Micros overloadDuration{};       ///< time for which overloadFactor must persist until the failure
     bool removalIsBinding = true;    ///< false: only endpoints listed as draining must leave the tables
 };
 /// How proxies limit the requests that they admit.
@@ -83,6 +83,7 @@
 
 // ---- inputs ----------------------------------------------------------------------------------------------
 
+/// State of an endpoint according to the endpoint list.
 enum class EndpointState : std::uint8_t { Removed, Ready, Draining };
 /// An entry of the endpoint list.
 struct EndpointUpdate {
@@ -207,8 +208,9 @@
     Planner& operator=(const Planner&) = delete;
     Planner& operator=(Planner&&) = delete;
     virtual ~Planner() = default;
-    /// Opens a batch, or advances the clock of the open one. The clock never goes back.
+    /// Opens a batch, or advances the clock of the open one. `now` must not decrease from call to call.
     virtual void beginBatch(Micros now) = 0;
+    /// Applies an endpoint list. After PollFailed, `entries` is ignored and decide() requests a subscription.
     virtual void updateEndpoints(EndpointListUpdate kind, std::span<const EndpointUpdate> entries) = 0;
     /// `expectedRate`: requests per second to assume until the proxy's first demand report.
     /// `hasOnlyBootstrapTable`: true if the proxy holds only the short table that it started with, false if
--- a/src/planner/planner_event.h
+++ b/src/planner/planner_event.h
@@ -11,8 +11,8 @@
 
 namespace zincstack {
 
-/// An endpoint was ejected, to be withdrawn from all tables: its load reports were bad and a health check
-/// confirmed the failure.
+/// An endpoint was ejected, because its load reports showed an outlier and a health check confirmed the
+/// failure. The planner then removes it from all tables.
 struct EndpointEjected {
     EndpointId endpoint;
     double attempts = 0; ///< decayed number of attempts that the decision is based on
@@ -24,7 +24,7 @@
 /// endpoint list.
 struct EndpointReadmitted {
     EndpointId endpoint;
-    double attempts = 0; ///< decayed number of attempts since the ejection
+    double attempts = 0; ///< decayed number of attempts, including those before the ejection
     double failures = 0; ///< decayed number of failures among these attempts
     friend bool operator==(const EndpointReadmitted&, const EndpointReadmitted&) = default;
 };
@@ -48,11 +48,11 @@
     friend bool operator==(const LoadSheddingStopped&, const LoadSheddingStopped&) = default;
 };
 
-/// No pending change fits the residual capacity of the endpoints: one table is updated at a reduced admission
-/// rate until the round ends.
+/// No pending change fits the residual capacity of the endpoints. One table is updated nevertheless, and
+/// admits fewer requests until the step ends: until all proxies have acknowledged it or it has timed out.
 struct UpdateDeadlock {
     TableId table;
-    double rateLimitFraction = 1; ///< fraction of the table's requests that is admitted until then
+    double rateLimitFraction = 1; ///< fraction of the table's admitted requests that remains admitted
     friend bool operator==(const UpdateDeadlock&, const UpdateDeadlock&) = default;
 };
 
--- a/src/planner/proxy_registry.h
+++ b/src/planner/proxy_registry.h
@@ -29,7 +29,7 @@
     std::deque<UnacknowledgedMessage> unacknowledged = {}; ///< oldest first
     Micros joinedAt{};
     bool staleExclusionsCleared = false; ///< exclusions by earlier planners have been reverted at it
-    /// Indices of the subset tables that it holds. Empty: it holds full tables or an inherited one.
+    /// Indexes of the subset tables that it holds. Empty: it holds full tables or an inherited one.
     std::vector<EndpointIndex> subsetTables = {};
 
     /// Whether it still holds the table that it joined with, since none has been assigned to it yet.
--- a/src/planner/routing_tables.cpp
+++ b/src/planner/routing_tables.cpp
@@ -1,4 +1,4 @@
-// Computes target weights, and sends weight updates and exclusions to the sink.
+// Computes target weights, and issues weight updates and exclusions to the sink.
 #include "planner/routing_tables.h"
 
 #include <algorithm>
--- a/src/planner/routing_tables.h
+++ b/src/planner/routing_tables.h
@@ -1,8 +1,9 @@
-// The routing tables as last ordered, their target weights, and the updates that move one to the other.
+// The routing tables as last issued, their target weights, and the updates that bring the tables to these
+// weights.
 //
 // An update carries an absolute weight, never an increment. The pending operations of a table are the
-// differences between its installed and its target weights, so those of several changes merge (the Coeus
-// paper's Algorithm 3, Tables IV to VI).
+// differences between its installed and its target weights, so successive changes merge (the Coeus paper's
+// Algorithm 3, Tables IV to VI).
 //
 // Owns the tables and charges the control channel for each update. The callers decide the order of updates.
 #pragma once
@@ -15,10 +16,10 @@
 
 namespace zincstack {
 
-/// Time for which changes are coalesced before they are ordered together: the window of the paper's rounds.
+/// Time for which changes are coalesced before they are issued together: the window of the paper's rounds.
 inline constexpr Micros kCoalescingWindow = std::chrono::milliseconds{500};
 
-/// Holds all routing tables and sends their updates to the sink. The referenced objects must outlive it.
+/// Holds all routing tables and issues their updates to the sink. The referenced objects must outlive it.
 class RoutingTables {
 public:
     RoutingTables(EndpointRegistry& endpoints, ControlChannel& channel, RoutingUpdateSink& sink,
@@ -35,15 +36,16 @@
     void beginBatch(const ProxyRegistry& proxies, Micros now);
 
     EndpointIndex fullTableCount() const;
-    /// Target weight of the endpoint in the table. It is 0 for endpoints that a subset table does not already
-    /// name, since addEndpoint() adds those, and for all endpoints of a full table that is not in use.
+    /// Target weight of the endpoint in the table. It is 0 for endpoints that a subset table does not name
+    /// yet, since addEndpoint() adds those. In a full table it is 0 for all endpoints if the table is not in
+    /// use, and for endpoints of other zones if the table is zone-local.
     double targetWeightIn(const PlannedTable& table, EndpointIndex index) const;
     /// Whether at least one full table differs from its target.
     bool hasPendingChanges() const;
     /// Whether every endpoint of the table has weight 0 or is excluded.
     bool hasNoUsableEndpoint(const PlannedTable& table) const;
 
-    /// Orders the endpoint's target weight, and readmits the endpoint if that is above 0.
+    /// Issues the endpoint's target weight. Readmits an excluded endpoint if the weight is above 0.
     void installWeight(PlannedTable& table, EndpointIndex index);
     /// Adds the endpoint to a subset table.
     void addEndpoint(PlannedTable& table, EndpointIndex index);
--- a/src/planner/slow_start.cpp
+++ b/src/planner/slow_start.cpp
@@ -1,3 +1,4 @@
+// Conditions for the steps up and down of slow start.
 #include "planner/slow_start.h"
 
 #include <algorithm>
@@ -8,9 +9,9 @@
 
 namespace {
 
-/// Factor by which the fraction of the weight may exceed the fraction of the capacity, which is computed for
-/// the slowest warm-up that the settings allow. A round is shorter than a warm-up, so without this factor an
-/// endpoint would often wait a whole round for a step that is nearly due.
+/// Factor by which an endpoint's fraction of its weight may exceed its fraction of its capacity. The latter
+/// is computed for the slowest warm-up that the settings allow. Without this factor, an endpoint would often
+/// wait a whole round, which is shorter than a warm-up, for a step that is nearly due.
 constexpr double kWarmUpLeadFactor = 1.25;
 
 /// Fraction of the overload factor up to which an endpoint may be loaded while it warms up.
--- a/src/planner/slow_start.h
+++ b/src/planner/slow_start.h
@@ -50,7 +50,7 @@
         double totalTargetWeight;
         double totalListedWeight;
         bool mayStepUp;
-        bool isOverloadOnset; ///< overload has begun so recently that admission limits cannot show in reports
+        bool isOverloadOnset; ///< overload is so recent that reports cannot show the effect of limits yet
         bool hasWarmEndpoint; ///< a warm endpoint gets requests, so one that is warming up may get none
         Micros now;
     };
--- a/src/planner/subset_tables.h
+++ b/src/planner/subset_tables.h
@@ -1,11 +1,12 @@
 // Deterministic subsetting: short tables for proxies that join while the control channel lacks the capacity
 // to send full tables to all of them at the same time.
 //
-// A proxy joins with an inherited table, which may name any endpoint that has ended since, whether or not
-// this planner knows it. Excluding these endpoints costs one line each. A subset table replaces the inherited
-// table for a few lines and names few endpoints that a rollout has to remove again. The endpoints of a zone's
-// full table are distributed over its subset tables, each to one of them. The proxies are distributed over
-// the subset tables by request rate, so that each endpoint gets its share.
+// A proxy joins with an inherited table, which may name endpoints that have ended since it was issued, even
+// endpoints that this planner does not know. Excluding these endpoints costs one line each. A subset table
+// replaces the inherited table for a few lines. It names few endpoints, so a rollout has to remove few from
+// it. The endpoints of a full table are distributed over its subset tables, each to one of them if they
+// divide evenly. The proxies are distributed over the subset tables by request rate, so that each endpoint
+// gets its share.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,7 @@
 
 namespace zincstack {
 
-/// Chooses the endpoints of each subset table and the subset table of each proxy; the caller orders the
+/// Chooses the endpoints of each subset table and the subset table of each proxy; the caller issues the
 /// updates. Appends subset tables to `tables` and maintains their `holderCount` and `holderRate`. Tables are
 /// identified by their index in `tables`.
 class SubsetTables {
--- a/src/planner/table_assignment.cpp
+++ b/src/planner/table_assignment.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Number of a subset table's endpoints that are readmitted when it is assigned, so that the proxy
-/// certainly has at least one that no earlier planner excluded there.
+/// Number of endpoints that are readmitted at a proxy when subset tables are assigned to it, so that it has
+/// at least one that is not excluded there by an earlier planner.
 constexpr std::size_t kFirstReadmissions = 2;
 
 /// A proxy and the rate, in requests per second, by which it is ranked.
@@ -112,7 +112,7 @@
 
 void TableAssignment::copyAdmission(const PlannedTable& fullTable, PlannedTable& subset) {
     for (const auto& [requestClass, limit] : fullTable.admission) {
-        if (limit < 0) continue; // no limit has been ordered yet
+        if (limit < 0) continue; // no limit has been issued yet
         sink_.setAdmission(subset.id, static_cast<RequestClassSet>(1U << requestClass), limit,
                            RetryPolicy::AfterProofOfNoEffect);
         subset.admission[requestClass] = limit;
--- a/src/planner/table_assignment.h
+++ b/src/planner/table_assignment.h
@@ -1,9 +1,9 @@
 // Assignment of tables to proxies: a proxy that joins gets a subset table or the full tables of its zone.
 //
 // A proxy joins with an inherited table, which may name endpoints that have ended. It is assigned the full
-// tables as soon as the control channel can carry them, in descending order of the proxies' request rate. If
-// so many proxies join that this takes longer, each is first assigned a short subset table, provided that the
-// sink measures the channel.
+// tables as soon as the control channel can carry them, in descending order of the proxies' request rate.
+// While a proxy waits for them, it is assigned short subset tables, provided that the sink measures the
+// channel and supports the reassignment of the proxy.
 //
 // Owns the random numbers of the subset tables. Changes `hasFullTable`, `subsetTables` and
 // `staleExclusionsCleared` of each Proxy.
@@ -49,13 +49,13 @@
     /// Returns a subset table for each full table of the proxy's zone, or std::nullopt if one of the full
     /// tables has no subset table with an endpoint.
     std::optional<std::vector<EndpointIndex>> chooseSubsets(const Proxy& proxy, EndpointIndex fullTableCount);
-    /// Endpoints that subset tables may name: those that have warmed up, since they get their full share as
-    /// soon as a table names them; if there are none, those that are warming up.
+    /// Endpoints that subset tables may name: those that have warmed up, since an endpoint gets its full
+    /// share of the requests as soon as a table names it. If there are none, those that are warming up.
     std::vector<EndpointIndex> usableEndpoints(const PlannedTable& fullTable, Micros now) const;
     void addEndpoints(const std::vector<SubsetTables::EndpointAddition>& additions);
     /// Empties the subset tables that no proxy holds, so that they can be reused for proxies that join later.
     void clearUnusedSubsets();
-    /// Orders the full table's admission limits for a subset table that gets its first holder.
+    /// Issues the full table's admission limits for a subset table that gets its first holder.
     void copyAdmission(const PlannedTable& fullTable, PlannedTable& subset);
 
     EndpointRegistry& endpoints_;
--- a/src/planner/update_scheduler.cpp
+++ b/src/planner/update_scheduler.cpp
@@ -14,11 +14,11 @@
 
 using namespace std::chrono_literals;
 
-/// A step ends after this time even if acknowledgements are missing, so that a proxy that hangs can't block
-/// all updates.
+/// A step ends after this time even if acknowledgements are missing, so that a proxy that hangs cannot
+/// block all updates.
 constexpr Micros kStepTimeout = 2s;
 
-/// Fitting fraction of an operation without blocked additions; that of a blocked addition is below 1.
+/// Fitting fraction of an operation without blocked additions. With blocked additions it is below 1.
 constexpr double kNothingBlocked = 2;
 
 enum class RoundEvent : std::uint8_t {
@@ -135,9 +135,9 @@
     return ledger;
 }
 
-/// Orders the releases (first part of Algorithm 5, lines 3-11): removals without dependencies, which are
+/// Issues the releases (first part of Algorithm 5, lines 3-11): removals without dependencies, which are
 /// those of tables without additions or without demand, and those of endpoints out of service. Returns true
-/// if at least one was ordered.
+/// if at least one was issued.
 bool UpdateScheduler::issueReleases(const std::vector<PendingOperation>& operations) {
     bool hasProgress = false;
     for (const PendingOperation& operation : operations) {
@@ -157,7 +157,7 @@
                              [](const PendingOperation& operation) { return operation.removals.size(); });
 }
 
-/// The fit check (second part of Algorithm 5, lines 3-11): orders additions while their endpoints have
+/// The fit check (second part of Algorithm 5, lines 3-11): issues additions while their endpoints have
 /// residual capacity.
 UpdateScheduler::FitCheck
 UpdateScheduler::issueFittingAdditions(const std::vector<PendingOperation>& operations,
@@ -192,7 +192,7 @@
 }
 
 /// Resolves a deadlock, in which no change fits (Algorithm 5, lines 13-16). The operation with the least
-/// throughput loss ratio is ordered nevertheless, and its table admits fewer requests until the step ends.
+/// throughput loss ratio is issued nevertheless, and its table admits fewer requests until the step ends.
 /// The paper limits the rate of the whole flow. Here only the blocked fraction of the demand moves, so the
 /// loss ratio applies to that fraction only.
 void UpdateScheduler::breakDeadlock(const BlockedAdditions& leastLoss) {
--- a/src/planner/update_scheduler.h
+++ b/src/planner/update_scheduler.h
@@ -1,10 +1,10 @@
 // Consistent updates in rounds, after the Coeus paper (docs/design.md lists its algorithms and where this
 // implementation differs).
 //
-// A round first coalesces changes for the duration of a window. A step then orders the changes that fit the
+// A round first coalesces changes for the duration of a window. A step then issues the changes that fit the
 // endpoints' capacities. The next step follows once all proxies have acknowledged the previous one, until no
-// change is pending. Within a table, additions are ordered before removals (Theorem 4), so that the table's
-// endpoints are never brought more load than they can carry.
+// change is pending. Within a table, additions are issued before removals (Theorem 4), so that no endpoint of
+// the table gets more load than it can carry.
 //
 // Owns the state of the round and each full table's `rateLimitFraction`. Updates that bypass the rounds are
 // in urgent_updates.h, subset tables in table_assignment.h.
@@ -34,7 +34,7 @@
                     RoutingTables& routing, RoutingUpdateSink& sink)
         : endpoints_(endpoints), proxies_(proxies), channel_(channel), routing_(routing), sink_(sink) {}
 
-    /// Advances the round as far as possible and orders at most one step.
+    /// Advances the round as far as possible and issues at most one step.
     void advance(Micros now);
     /// Records the barrier that closed the batch of time `now`; std::nullopt if the batch was empty.
     void batchClosed(std::optional<BarrierId> barrier, Micros now);
@@ -46,7 +46,7 @@
     /// A node of the paper's dependency graph: the difference between one table and its target.
     struct PendingOperation {
         PlannedTable* table;
-        /// Requests per second.
+        /// Requests per second, in the table's request classes, of the proxies that hold it.
         double demand;
         /// Sum of the installed weights of the endpoints that are not excluded.
         double totalWeight = 0;
@@ -67,8 +67,9 @@
         /// Requests per second that the blocked additions would bring to their endpoints.
         double requestRate = 0;
     };
+    /// Result of the fit check over all operations.
     struct FitCheck {
-        /// At least one addition was ordered.
+        /// At least one addition was issued.
         bool hasProgress = false;
         /// The operation with the least throughput loss ratio among those with blocked additions.
         BlockedAdditions leastLoss;
@@ -77,7 +78,7 @@
     bool takeTransition(Micros now);
     bool isStepAcknowledged(Micros now) const;
 
-    /// Runs one step. Each of the functions below is one phase of the paper's Algorithm 5.
+    /// Runs one step: the paper's Algorithm 5, whose phases are the functions below.
     void executeStep(Micros now);
     std::vector<PendingOperation> findPendingOperations() const;
     PendingOperation compareWithTarget(PlannedTable& table) const;
@@ -89,7 +90,7 @@
     void breakDeadlock(const BlockedAdditions& leastLoss);
     void reportDeadlock(const PlannedTable& table);
 
-    /// Orders the endpoint's target weight. Returns false if the channel has no capacity left for the update.
+    /// Issues the endpoint's target weight. Returns false if the channel has no capacity left for the update.
     bool issueUpdate(const PendingOperation& operation, EndpointIndex index);
     double weightFraction(const PendingOperation& operation, EndpointIndex index) const;
 
--- a/src/planner/urgent_updates.cpp
+++ b/src/planner/urgent_updates.cpp
@@ -1,4 +1,4 @@
-// Decides which updates can't wait for a round and whether the control channel has capacity for them.
+// Decides which updates cannot wait for a round and whether the control channel has capacity for them.
 #include "planner/urgent_updates.h"
 
 #include <algorithm>
@@ -40,7 +40,7 @@
     if (!isReferenced && sink_.forgetEndpoint(endpoints_.id[index])) endpoints_.forget(index);
 }
 
-/// An endpoint that is warming up can't carry its installed weight, so the weight is lowered immediately.
+/// An endpoint that is warming up cannot carry its installed weight, so the weight is lowered immediately.
 /// That of any other endpoint in slow start (readmitted, or with a reduced weight) is lowered only while the
 /// channel is idle.
 void UrgentUpdates::lowerWeights(EndpointIndex index, bool awaitsExclusion, bool channelIsIdle, Micros now) {
@@ -63,8 +63,8 @@
     if (channel_.hasDeadlineCapacity(channel_.broadcastLines())) routing_.setExcluded(index, true);
 }
 
-/// Orders the target weights of full tables without a usable endpoint, without waiting for a round, whatever
-/// the cause.
+/// Issues the target weights of full tables that have no usable endpoint, whatever the cause, without waiting
+/// for a round.
 void UrgentUpdates::refillTablesWithoutUsableEndpoint() {
     for (PlannedTable& table : routing_.tables) {
         if (table.subsetOf || !routing_.hasNoUsableEndpoint(table)) continue;
--- a/src/planner/urgent_updates.h
+++ b/src/planner/urgent_updates.h
@@ -16,7 +16,7 @@
 /// endpoint left.
 bool isZoneDepleted(const EndpointRegistry& endpoints, ZoneId zone);
 
-/// Orders the urgent updates of each batch. The referenced objects must outlive it.
+/// Issues the urgent updates of each batch. The referenced objects must outlive it.
 class UrgentUpdates {
 public:
     UrgentUpdates(EndpointRegistry& endpoints, const HealthMonitor& health, const ProxyRegistry& proxies,
@@ -24,7 +24,7 @@
         : endpoints_(endpoints), health_(health), proxies_(proxies), channel_(channel), routing_(routing),
           sink_(sink) {}
 
-    /// Orders all urgent updates except repeated exclusions, and drops the state of endpoints that ended long
+    /// Issues all urgent updates except repeated exclusions, and drops the state of endpoints that ended long
     /// ago.
     void issueUrgentUpdates(bool channelIsIdle, Micros now);
     /// Repeats earlier exclusions for proxies that have joined with an inherited table since. If hundreds of
@@ -35,7 +35,8 @@
     /// Forgets an endpoint that ended so long ago that no inherited table can name it. This bounds the size
     /// of the registry and saves the endpoint's lines whenever a proxy joins.
     void forgetIfUnreferenced(EndpointIndex index, Micros now);
-    /// Lowers the endpoint's weight to its target in the tables where it is above.
+    /// Lowers the endpoint's weight to its target in the tables where it is above. `awaitsExclusion`: the
+    /// endpoint is out of service and not excluded yet, so these updates have a deadline.
     void lowerWeights(EndpointIndex index, bool awaitsExclusion, bool channelIsIdle, Micros now);
     void exclude(EndpointIndex index);
     void refillTablesWithoutUsableEndpoint();
--- a/tests/admission_control_test.cpp
+++ b/tests/admission_control_test.cpp
@@ -19,8 +19,8 @@
     EXPECT_DOUBLE_EQ(model->admissionLimits.back().second, 1);
 }
 
-/// Guards against load shedding by an underestimated capacity: after a restart of the planner the first load
-/// reports covered few proxies, and admission stayed limited to that capacity for the rest of the day.
+/// Guards against load shedding due to an underestimated capacity: after a restart of the planner the first
+/// load reports covered few proxies, and admission stayed limited to that capacity for the rest of the day.
 TEST(AdmissionControl, ShedsNothingWhileLoadReportsCoverFewRequests) {
     ProxyModel model;
     for (std::uint64_t id = 1; id <= 6; ++id) model.addEndpoint(id);
--- a/tests/endpoint_registry_test.cpp
+++ b/tests/endpoint_registry_test.cpp
@@ -6,8 +6,8 @@
 namespace zincstack::tests {
 namespace {
 
-/// If removed endpoints were never forgotten, each joining proxy would be sent every endpoint that was ever
-/// removed, and the state kept for them would grow without limit.
+/// If removed endpoints were never forgotten, each joining proxy would be sent the exclusion of every
+/// endpoint that was ever removed, and the state kept for them would grow without limit.
 TEST(EndpointRegistry, ForgetsEndpointsRemovedLongAgoAndReusesTheirEntries) {
     const auto model = settledModel(4);
     model->forgetsEndpoints = true;
--- a/tests/update_scheduler_test.cpp
+++ b/tests/update_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// Update scheduler: rounds order only the differences between installed and target weights, and a deadlock
+// Update scheduler: rounds issue only the differences between installed and target weights, and a deadlock
 // (no pending change fits the endpoints' capacities) is resolved by reducing the admission of one table.
 #include <gtest/gtest.h>
 
@@ -22,12 +22,12 @@
     EXPECT_TRUE(model->excluded.contains({3}));
 }
 
-// Guards against a change that is never ordered because it exceeds its endpoint's capacity: the affected
+// Guards against a change that is never issued because it exceeds its endpoint's capacity: the affected
 // table must be updated with reduced admission, and must admit all requests again when the step has ended.
 TEST(UpdateScheduler, ADeadlockedTableIsUpdatedWithReducedAdmissionForOneStep) {
     const auto model = settledModel(4);
-    // Endpoint 9 has not reported, so its capacity is estimated from the mean weight instead of its listed
-    // one. Its addition does not fit in any table.
+    // No attempt has succeeded at endpoint 9, so its capacity is estimated from the mean weight instead of
+    // its listed one. Its addition does not fit in any table.
     model->addEndpoint(9, 60);
     model->updateEndpoint(9, EndpointState::Ready);
     model->advance(800ms);
