--- a/src/planner/message_ledger.cpp
+++ b/src/planner/message_ledger.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-/// Age at which a message is assumed to have left the channel, acknowledged or not.
+/// Age at which a batch is assumed to have left the channel, acknowledged or not.
 constexpr Micros kBatchExpiry = 10s;
 /// The same for a batch that no proxy still has to acknowledge.
 constexpr Micros kUnawaitedBatchExpiry = 2s;
@@ -26,7 +26,7 @@
 
 void MessageLedger::chargeTable(const PlannedTable& table, double lines) {
     for (auto& [id, proxy] : proxies_)
-        if (table.serves(proxy)) stage(proxy, lines);
+        if (table.isHeldBy(proxy)) stage(proxy, lines);
 }
 
 void MessageLedger::chargeInheritedTables(double bootstrapProbability, Micros joinedAfter) {
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -30,7 +30,7 @@
 
 using namespace std::chrono_literals;
 
-/// Wake-up interval without inputs: gathering windows, slow start and health checks progress with time.
+/// Wake-up interval without inputs: coalescing windows, slow start and health checks progress with time.
 constexpr Micros kIdleInterval = 100ms;
 /// Factor per second by which older values decay in the exponential moving average of a proxy's demand.
 constexpr double kDemandDecay = 0.3;
@@ -150,8 +150,9 @@
     // A sink that measures the channel defers by itself the updates that do not fit.
     const bool mayIssue = joinBudget > 0 || channel_.isMetered();
 
-    if (mayIssue) urgentUpdates_.order(channelIsIdle, now_);
-    // In a depleted zone, inherited tables run out of endpoints: urgent updates must not use up the channel.
+    if (mayIssue) urgentUpdates_.issueUrgentUpdates(channelIsIdle, now_);
+    // In a depleted zone, proxies run out of usable endpoints in their inherited tables. They are then
+    // assigned full tables even if urgent updates keep the channel from being idle.
     if (joinBudget > 0 && (channelIsIdle || isAnyZoneDepleted())) assignment_.assignFullTables(joinBudget);
     if (channel_.isMetered()) assignment_.assignSubsetTables(now_);
     if (mayIssue) urgentUpdates_.repeatExclusions(channelIsIdle, now_);
@@ -200,8 +201,9 @@
 }
 
 bool PlannerImpl::isAnyZoneDepleted() const {
-    return std::ranges::any_of(
-        routing_.tables, [this](const PlannedTable& table) { return isDepleted(endpoints_, table.zone); });
+    return std::ranges::any_of(routing_.tables, [this](const PlannedTable& table) {
+        return isZoneDepleted(endpoints_, table.zone);
+    });
 }
 
 } // namespace
--- a/src/planner/urgent_updates.cpp
+++ b/src/planner/urgent_updates.cpp
@@ -1,4 +1,4 @@
-// Decides which updates can't wait for a round and whether the control channel has capacity for them.
+// Decides which updates cannot wait for a round and whether the control channel has capacity for them.
 #include "planner/urgent_updates.h"
 
 #include <algorithm>
@@ -16,17 +16,17 @@
 
 } // namespace
 
-bool isDepleted(const EndpointRegistry& endpoints, ZoneId zone) {
+bool isZoneDepleted(const EndpointRegistry& endpoints, ZoneId zone) {
     return endpoints.excludedFraction(zone) >= kDepletedFraction;
 }
 
-void UrgentUpdates::order(bool channelIsIdle, Micros now) {
+void UrgentUpdates::issueUrgentUpdates(bool channelIsIdle, Micros now) {
     for (EndpointIndex index = 0; index < endpoints_.size(); ++index) {
         forgetIfUnreferenced(index, now);
         if (endpoints_.forgotten[index]) continue;
-        const bool outOfService = !endpoints_.isInService(index) && !endpoints_.excluded[index];
-        lowerWeights(index, outOfService, channelIsIdle, now);
-        if (outOfService) exclude(index);
+        const bool awaitsExclusion = !endpoints_.isInService(index) && !endpoints_.excluded[index];
+        lowerWeights(index, awaitsExclusion, channelIsIdle, now);
+        if (awaitsExclusion) exclude(index);
     }
     refillTablesWithoutUsableEndpoint();
 }
@@ -40,17 +40,17 @@
     if (!isReferenced && sink_.forgetEndpoint(endpoints_.id[index])) endpoints_.forget(index);
 }
 
-/// An endpoint that is warming up can't carry its installed weight, so the weight is lowered immediately.
+/// An endpoint that is warming up cannot carry its installed weight, so the weight is lowered immediately.
 /// That of any other endpoint in slow start (readmitted, or with a reduced weight) is lowered only while the
 /// channel is idle.
-void UrgentUpdates::lowerWeights(EndpointIndex index, bool outOfService, bool channelIsIdle, Micros now) {
+void UrgentUpdates::lowerWeights(EndpointIndex index, bool awaitsExclusion, bool channelIsIdle, Micros now) {
     const bool isWarmingUp = health_.warmUpFraction(index, now) < 1;
     const bool isInSlowStart = endpoints_.slowStartStep[index] < kSlowStartSteps;
     const bool mayLower = isWarmingUp || (channelIsIdle && isInSlowStart);
     for (PlannedTable& table : routing_.tables) {
         if (table.installedWeight[index] <= routing_.targetWeightIn(table, index)) continue;
-        const bool hasCapacity = outOfService ? channel_.hasDeadlineCapacity(channel_.broadcastLines())
-                                              : mayLower && channel_.spareLines(kBatchBudget) > 0;
+        const bool hasCapacity = awaitsExclusion ? channel_.hasDeadlineCapacity(channel_.broadcastLines())
+                                                 : mayLower && channel_.spareLines(kBatchBudget) > 0;
         if (hasCapacity) routing_.installWeight(table, index);
     }
 }
@@ -59,12 +59,12 @@
     // Only inherited tables still name the endpoint. They are short, so ejections must not remove their last
     // endpoints.
     const bool isEjected = endpoints_.health[index] == HealthState::Ejected;
-    if (isEjected && isDepleted(endpoints_, endpoints_.zone[index])) return;
+    if (isEjected && isZoneDepleted(endpoints_, endpoints_.zone[index])) return;
     if (channel_.hasDeadlineCapacity(channel_.broadcastLines())) routing_.setExcluded(index, true);
 }
 
-/// Orders the target weights of full tables without a usable endpoint, without waiting for a round, whatever
-/// the cause.
+/// Issues the target weights of full tables that have no usable endpoint, whatever the cause, without waiting
+/// for a round.
 void UrgentUpdates::refillTablesWithoutUsableEndpoint() {
     for (PlannedTable& table : routing_.tables) {
         if (table.subsetOf || !routing_.hasNoUsableEndpoint(table)) continue;
--- a/tests/update_scheduler_test.cpp
+++ b/tests/update_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// Update scheduler: rounds order only the differences between installed and target weights, and a deadlock
+// Update scheduler: rounds issue only the differences between installed and target weights, and a deadlock
 // (no pending change fits the endpoints' capacities) is resolved by reducing the admission of one table.
 #include <gtest/gtest.h>
 
@@ -11,7 +11,7 @@
 
 // Guards against updates for an endpoint that is added and removed within one window: both changes must merge
 // to no difference, so that only the draining endpoint is updated.
-TEST(UpdateScheduler, OrdersOnlyDifferencesAndARemovalCancelsItsPendingAddition) {
+TEST(UpdateScheduler, IssuesOnlyDifferencesAndARemovalCancelsItsPendingAddition) {
     const auto model = settledModel(6);
     model->updateEndpoint(9, EndpointState::Ready, 0us);
     model->updateEndpoint(9, EndpointState::Removed);
@@ -22,12 +22,12 @@
     EXPECT_TRUE(model->excluded.contains({3}));
 }
 
-// Guards against a change that is never ordered because it exceeds its endpoint's capacity: the affected
+// Guards against a change that is never issued because it exceeds its endpoint's capacity: the affected
 // table must be updated with reduced admission, and must admit all requests again when the step has ended.
 TEST(UpdateScheduler, ADeadlockedTableIsUpdatedWithReducedAdmissionForOneStep) {
     const auto model = settledModel(4);
-    // Endpoint 9 has not reported, so its capacity is estimated from the mean weight instead of its listed
-    // one. Its addition does not fit in any table.
+    // No attempt has succeeded at endpoint 9, so its capacity is estimated from the mean weight instead of
+    // its listed one. Its addition does not fit in any table.
     model->addEndpoint(9, 60);
     model->updateEndpoint(9, EndpointState::Ready);
     model->advance(800ms);
