--- a/src/engine/batch_runner.cpp
+++ b/src/engine/batch_runner.cpp
@@ -12,7 +12,7 @@
 
 constexpr int kQuietTicks = 2;      // time without input after which a batch closes
 constexpr int kMaxBatchTicks = 8;   // age at which a batch closes even if input keeps arriving
-constexpr int kMaxDrainTurns = 200; // of the event loop, in which input that is ready still joins the batch
+constexpr int kMaxDrainTurns = 200; // event loop turns in which ready input still joins the batch
 // A batch that stays open for longer than the maximum age plus this margin indicates a stall.
 constexpr Micros kLateBatchMargin = 100ms;
 
--- a/src/engine/batch_runner.h
+++ b/src/engine/batch_runner.h
@@ -36,8 +36,9 @@
     BatchRunner(boost::asio::io_context& io, Planner& planner, routing::RoutingState& state,
                 Counters& counters, Micros tick);
 
-    /// Returns the planner to hand one input to. Opens a batch if none is open. The batch closes, and the
-    /// planner decides, once no input has arrived for a while or the batch has reached its maximum age.
+    /// Returns the planner, to which the caller passes one input. Opens a batch if none is open.
+    /// The batch closes, and the planner decides, once no input has arrived for a while or the batch has
+    /// reached its maximum age.
     Planner& openBatch();
     /// Calls Planner::timerExpired() after the delay. Replaces any earlier wake-up that is still pending.
     void scheduleWakeUp(Micros delay);
@@ -61,7 +62,7 @@
     Micros openedAt_{};
     Micros lastInputAt_{};
     std::uint64_t inputCount_ = 0;
-    std::uint64_t drainedInputCount_ = 0; ///< as of the previous drainReadyInputs()
+    std::uint64_t drainedInputCount_ = 0; ///< `inputCount_` at the previous drainReadyInputs()
 };
 
 } // namespace zincstack::net
--- a/src/platform/pending_update.cpp
+++ b/src/platform/pending_update.cpp
@@ -117,9 +117,9 @@
     return limits;
 }
 
-/// Corrects the exclusion state that the proxy may have for the endpoints that it is about to use. It may be
-/// outdated because of an earlier change on this stream, or because of an exclusion under the endpoint's
-/// former id.
+/// Corrects the exclusion state that the proxy may have for the endpoints that it is about to use. That
+/// state may be outdated because of an earlier change on this stream, or because of an exclusion under the
+/// endpoint's former id.
 void PendingUpdate::reconcileExclusions(const routing::EndpointWeights& weights) {
     for (const auto& [endpoint, weight] : weights) {
         if (weight <= 0) continue;
--- a/src/platform/pending_update.h
+++ b/src/platform/pending_update.h
@@ -12,8 +12,8 @@
 
 namespace zincstack::net {
 
-/// Which of the pending changes a message contains. Only the urgent ones are sent if the channel lacks
-/// capacity for all: exclusions, removed endpoints and the first table on the stream.
+/// Which of the pending changes a message contains. If the channel lacks capacity for all of them, only the
+/// urgent ones are sent: exclusions, removed endpoints and the first table on the stream.
 enum class UpdateScope : std::uint8_t { Complete, UrgentOnly };
 
 /// Merges later changes with earlier ones, so that the next message contains only the latest desired state.
@@ -81,8 +81,8 @@
     std::set<EndpointId> readmissions_;
     std::optional<BarrierId> barrier_;
 
-    /// The exclusion state that was last queued on this stream: true if excluded, false if readmitted. The
-    /// state of endpoints without an entry is the one that earlier streams left.
+    /// The exclusion state that was last queued on this stream: true if excluded, false if readmitted. For an
+    /// endpoint without an entry, the proxy keeps the state that it had before this stream.
     std::map<EndpointId, bool> lastExclusionState_;
     bool hasWrittenTable_ = false; ///< a complete table has been written on this stream
 };
--- a/src/platform/prober.h
+++ b/src/platform/prober.h
@@ -21,7 +21,7 @@
     Prober(boost::asio::io_context& io, const NameRegistry& names, InputTranslator& inputs,
            Counters& counters, BufferPool& buffers, std::size_t maxConcurrentProbes, Micros connectTimeout,
            bool reportsLoad);
-    /// Starts a probe. Its result is passed to the InputTranslator, never before this call returns.
+    /// Starts a probe. Its result is passed to the InputTranslator after this call has returned.
     void probe(EndpointId endpoint);
 
 private:
--- a/src/platform/push_encoder.cpp
+++ b/src/platform/push_encoder.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A part whose weights exceed this size is complete. This keeps each line well below kMaxLineBytes.
+/// A part ends once its weights exceed this size. This keeps each line well below kMaxLineBytes.
 constexpr std::size_t kMaxWeightBytesPerPart = 512 * 1024;
 
 std::string formatNumber(double value) {
--- a/src/platform/push_encoder.h
+++ b/src/platform/push_encoder.h
@@ -15,7 +15,7 @@
 /// A change to a proxy's routing table for a set of request classes.
 struct TableUpdate {
     RequestClassSet requestClasses = 0;
-    bool replacesTable = false; ///< `weights` is the complete table; earlier admission limits end
+    bool replacesTable = false; ///< `weights` is the complete table; earlier admission limits no longer apply
     routing::EndpointWeights weights;
     routing::AdmissionLimits admission;
 
--- a/src/platform/session_acceptor.h
+++ b/src/platform/session_acceptor.h
@@ -1,4 +1,4 @@
-// Accepts connections to the planner's listening address. Each one gets a session of the platform protocol.
+// Creates a session of the platform protocol for each connection to the planner's listening address.
 #pragma once
 
 #include <memory>
--- a/src/pubsub/flow_control.h
+++ b/src/pubsub/flow_control.h
@@ -83,8 +83,8 @@
     std::size_t maxLinesSeen() const { return maxLinesSeen_; } ///< largest value of `lines()` so far
 
     /// Queues a subscriber that waits for capacity in the total window, first come first served within a
-    /// priority. `atFront` returns a subscriber to the front of the queue that was dequeued while there was
-    /// still no capacity.
+    /// priority. `atFront` puts the subscriber at the front of the queue: it was dequeued before, but there
+    /// was still no capacity for it.
     void enqueueWaiter(SubscriberId subscriber, MessagePriority priority, bool atFront);
     /// Removes and returns the first waiter of the highest priority; std::nullopt if nobody waits.
     std::optional<SubscriberId> dequeueWaiter();
--- a/src/pubsub/message_sender.h
+++ b/src/pubsub/message_sender.h
@@ -1,9 +1,10 @@
-// Sends the contents of their topics to subscribers, as far as flow control has capacity for it.
+// Sends each subscriber the contents of its topics, as far as flow control has capacity.
 //
 // Order of sending for one subscriber: exclusions are sent first, even between the parts of a longer message.
 // The other topics that the subscriber follows come next. Each topic is sent as the changes since the
-// subscriber's position, or as a snapshot if the log no longer covers that position or more than half of the
-// topic has changed.
+// subscriber's position. A snapshot is sent instead if the session has no position to resume from, the client
+// requested a snapshot, the log no longer covers the position, or many entries have changed: more than half
+// of the topic's entries and more than kMaxChangesWithoutSnapshot.
 #pragma once
 
 #include <functional>
--- a/src/pubsub/replica.h
+++ b/src/pubsub/replica.h
@@ -49,9 +49,9 @@
         Invalid,      ///< the body cannot be decoded, or the message has too many entries
     };
 
-    /// `unconfirmedExclusionHold` is the time from its last announcement for which an exclusion stays in
-    /// effect although the session's planner has not confirmed it, unless that planner readmits the endpoint.
-    /// It bridges the time in which a new planner does not know of a drain yet.
+    /// `unconfirmedExclusionHold` is how long an exclusion stays in effect after its last announcement if the
+    /// session's planner has neither confirmed it nor readmitted the endpoint. It bridges the time in which a
+    /// new planner does not know of a drain yet.
     explicit Replica(Micros unconfirmedExclusionHold) : unconfirmedExclusionHold_(unconfirmedExclusionHold) {}
 
     /// Starts a session with the planner incarnation of that epoch. Discards incomplete messages.
--- a/src/pubsub/topic_log.h
+++ b/src/pubsub/topic_log.h
@@ -2,10 +2,10 @@
 // I/O and reads no clock.
 //
 // A topic is a map from keys to values. Each change takes the next sequence number, and only the newest
-// change of a key is kept. The keys that changed since an older sequence bring a reader at that sequence up
-// to date. Unsent changes of one endpoint therefore coalesce, and readers need no queues of their own. A
-// removed key leaves a tombstone. The number of tombstones is bounded, and a reader at a sequence before the
-// last dropped tombstone needs a snapshot.
+// change of a key is kept. A reader at an older sequence needs only the keys that changed since then.
+// Unsent changes of one endpoint therefore coalesce, and readers need no queues of their own. A removed key
+// leaves a tombstone. The number of tombstones is bounded, and a reader at a sequence before the last dropped
+// tombstone needs a snapshot.
 #pragma once
 
 #include <compare>
--- a/src/pubsub/topic_store.h
+++ b/src/pubsub/topic_store.h
@@ -27,8 +27,8 @@
     /// Removes the endpoint from every topic, so that another endpoint can be given the same name without
     /// being excluded.
     void forgetEndpoint(EndpointId endpoint);
-    /// Copies the effective admission limits of those of the request classes that the table is known to
-    /// serve.
+    /// Copies the table's effective admission limits to its topic, for those of the request classes that the
+    /// table serves according to the routing state.
     void updateAdmission(TableId table, RequestClassSet requestClasses);
 
     /// Returns the log of a topic; the topic must exist.
--- a/src/routing/name_registry.h
+++ b/src/routing/name_registry.h
@@ -31,7 +31,8 @@
         return found->second;
     }
 
-    /// The id of the endpoint, assigned at the first call. It is valid until `forget` and is never reused.
+    /// Returns the endpoint's id, which is assigned at the first call. It is valid until `forget` and is
+    /// never reused.
     EndpointId registerEndpoint(std::string_view name) {
         if (const auto known = endpoint(name)) return *known;
         const EndpointId id{nextId_++};
--- a/src/routing/routing_state.h
+++ b/src/routing/routing_state.h
@@ -30,7 +30,7 @@
 
 struct RoutingTable {
     RequestClassSet requestClasses = 0;
-    std::optional<ZoneId> zone; ///< of the proxies that use the table; unset until it is assigned
+    std::optional<ZoneId> zone; ///< of the proxies that use the table; unset until the table is assigned
     EndpointWeights weights;
     AdmissionLimits admission;
 };
@@ -38,7 +38,7 @@
 /// Receives the planner's decisions, applies them to the desired state and notifies the transports.
 class RoutingState final : public RoutingUpdateSink {
 public:
-    /// `startProbe` and `scheduleWakeUp` carry out the planner's requests of these names.
+    /// `startProbe` and `scheduleWakeUp` carry out the planner's calls of `probe` and `scheduleWakeUp`.
     RoutingState(net::NameRegistry& names, net::Counters& counters,
                  std::function<void(EndpointId)> startProbe, std::function<void(Micros)> scheduleWakeUp,
                  const ControlChannelLimits& channel = {});
@@ -66,7 +66,8 @@
     std::size_t messageOverheadLines() const { return messageOverheadLines_; }
     /// Records an acknowledgement. False if the proxy has no unacknowledged message with this barrier.
     bool barrierAcknowledged(ProxyId proxy, BarrierId barrier);
-    /// Lines that may still be in the channel, excluding those on channels that belong to a transport.
+    /// Lines that may still be in the channel, excluding those that a transport counts itself (see
+    /// UpdateTransport::unacknowledgedLines).
     std::size_t unacknowledgedLines() const {
         return static_cast<std::size_t>(credit_.unacknowledgedLines());
     }
--- a/src/routing/update_transport.h
+++ b/src/routing/update_transport.h
@@ -22,22 +22,24 @@
     virtual void exclusionChanged(EndpointId endpoint, bool excluded) = 0;
     /// Without a table the change applies to every joined proxy.
     virtual void admissionChanged(std::optional<TableId> table, RequestClassSet requestClasses) = 0;
-    /// Ends the pending message of each proxy that has changes with the barrier, or that of every proxy.
+    /// Sets the barrier that ends the next message of each proxy with pending changes or, if `everyProxy` is
+    /// set, of every proxy.
     virtual void barrierRequested(BarrierId barrier, bool everyProxy) = 0;
     /// The endpoint's name and id are invalid after this call.
     virtual void endpointForgotten(EndpointId endpoint) = 0;
     /// Whether the removal or exclusion of the endpoint still has to be sent to some proxy.
     virtual bool hasUndeliveredRemoval(EndpointId) const { return false; }
 
-    /// The proxy's session on this transport ends: the proxy has opened a newer one, here or elsewhere.
+    /// The proxy's session on this transport ends: the proxy has opened a newer one, on this or another
+    /// transport.
     virtual void sessionReplaced(ProxyId proxy) = 0;
-    /// Sends the pending changes: the batch is complete.
+    /// Called when the batch is complete. Sends the pending changes as far as the channel has capacity.
     virtual void flush() = 0;
     /// Readmits at most `maxEndpoints` endpoints that the proxy may still exclude because of an earlier
     /// session. False if there are none.
     virtual bool clearStaleExclusions(ProxyId, std::size_t /*maxEndpoints*/) { return false; }
 
-    /// Unacknowledged lines on this transport's own channel, in addition to those that RoutingState counts.
+    /// Unacknowledged lines that this transport counts itself, in addition to those that RoutingState counts.
     virtual double unacknowledgedLines() const { return 0; }
     /// Lines that wait for capacity in the channel, excluding those that wait only for their own proxy.
     virtual double deferredLines() const { return 0; }
