--- a/bench/pubsub_planner_side.cpp
+++ b/bench/pubsub_planner_side.cpp
@@ -59,7 +59,7 @@
 tcp::endpoint PlannerSide::startListener(net::Listener::MakePeer makePeer) {
     const tcp::endpoint loopback(asio::ip::address_v4::loopback(), 0);
     listener_ = std::make_shared<net::Listener>(io, loopback, proxies + kSpareConnections,
-                                                net::SessionAcceptor::kQueueBytesMost, counters, bufferPool,
+                                                net::SessionAcceptor::kMaxQueuedBytes, counters, bufferPool,
                                                 bufferPool, std::move(makePeer));
     listener_->start();
     return listener_->address();
--- a/src/command/daemon.cpp
+++ b/src/command/daemon.cpp
@@ -96,7 +96,7 @@
               config_.settings.connectTimeout, !config_.settings.reportColumns.empty()),
       sessionAcceptor_(inputTranslator_, counters_, lineBlocks_),
       listener_(std::make_shared<net::Listener>(
-          io_, listenAddress_, budget_.peers, net::SessionAcceptor::kQueueBytesMost, counters_, lineBlocks_,
+          io_, listenAddress_, budget_.peers, net::SessionAcceptor::kMaxQueuedBytes, counters_, lineBlocks_,
           pushBlocks_, [this](net::Connection& connection) { return sessionAcceptor_.accept(connection); })),
       discoveryWatch_(
           config_.startFile.discovery,
@@ -190,7 +190,7 @@
 /// Only the address of discovery can change while the planner runs.
 void Daemon::reloadStartFile() {
     const config::StartFile reloaded = config::reloadStartFile();
-    discoveryDriver_.move(requireAddress("discovery", reloaded.discovery), reloaded.discovery);
+    discoveryDriver_.changeAddress(requireAddress("discovery", reloaded.discovery), reloaded.discovery);
     log::info("reload", {{"discovery", reloaded.discovery}});
 }
 
--- a/src/discovery/discovery_driver.cpp
+++ b/src/discovery/discovery_driver.cpp
@@ -31,7 +31,7 @@
 
 void DiscoveryDriver::start() { asio::co_spawn(io_, run(), rethrow); }
 
-void DiscoveryDriver::move(asio::ip::tcp::endpoint address, std::string host) {
+void DiscoveryDriver::changeAddress(asio::ip::tcp::endpoint address, std::string host) {
     if (address == address_) return;
     address_ = std::move(address);
     ++addressChanges_;
--- a/src/discovery/discovery_driver.h
+++ b/src/discovery/discovery_driver.h
@@ -25,7 +25,7 @@
     void start();
     /// Switches to another address and closes the current connection immediately, even if a response is
     /// pending. Has no effect if the address is unchanged. `host` is the value of the Host header.
-    void move(boost::asio::ip::tcp::endpoint address, std::string host);
+    void changeAddress(boost::asio::ip::tcp::endpoint address, std::string host);
 
 private:
     using Steady = std::chrono::steady_clock;
--- a/src/platform/session_acceptor.h
+++ b/src/platform/session_acceptor.h
@@ -17,7 +17,7 @@
 public:
     /// Bytes queued for one connection beyond which no further message is queued. A proxy that missed a
     /// message for this reason is resynchronized once it has read everything that was queued.
-    static constexpr std::size_t kQueueBytesMost = 256 * 1024;
+    static constexpr std::size_t kMaxQueuedBytes = 256 * 1024;
 
     SessionAcceptor(InputTranslator& inputs, Counters& counters, BufferPool& lineBuffers)
         : inputs_(inputs), counters_(counters), lineBuffers_(lineBuffers) {}
