--- a/src/client/subscription.cpp
+++ b/src/client/subscription.cpp
@@ -60,8 +60,8 @@
     {State::Any, Event::Gap, State::Any, Effect::Nothing},
 };
 
-Subscription::Subscription(Identity identity, Micros foreignExclusionHold, OnChange onChange)
-    : identity_(std::move(identity)), onChange_(std::move(onChange)), replica_(foreignExclusionHold) {}
+Subscription::Subscription(Identity identity, Micros unconfirmedExclusionHold, OnChange onChange)
+    : identity_(std::move(identity)), onChange_(std::move(onChange)), replica_(unconfirmedExclusionHold) {}
 
 std::string Subscription::connected(Micros now) {
     now_ = now;
--- a/src/client/subscription.h
+++ b/src/client/subscription.h
@@ -30,9 +30,9 @@
     /// current.
     using OnChange = std::function<void(std::optional<pubsub::TopicId>)>;
 
-    /// `foreignExclusionHold`: how long an exclusion outlives the planner that announced it; see
+    /// `unconfirmedExclusionHold`: how long an exclusion outlives the planner that announced it; see
     /// pubsub::Replica.
-    Subscription(Identity identity, Micros foreignExclusionHold, OnChange onChange = {});
+    Subscription(Identity identity, Micros unconfirmedExclusionHold, OnChange onChange = {});
 
     /// Starts a session on a new connection. Returns the greeting to send.
     std::string connected(Micros now);
--- a/src/client/subscription_client.cpp
+++ b/src/client/subscription_client.cpp
@@ -30,10 +30,10 @@
 
 SubscriptionClient::SubscriptionClient(asio::io_context& io, std::vector<Endpoint> planners,
                                        Identity identity, const ReconnectConfig& reconnect,
-                                       std::uint64_t seed, Micros foreignExclusionHold,
+                                       std::uint64_t seed, Micros unconfirmedExclusionHold,
                                        Subscription::OnChange onChange, OnStatus onStatus)
     : io_(io), planners_(std::move(planners)), backoff_(planners_.size(), reconnect, seed),
-      subscription_(std::move(identity), foreignExclusionHold, std::move(onChange)),
+      subscription_(std::move(identity), unconfirmedExclusionHold, std::move(onChange)),
       onStatus_(std::move(onStatus)), socket_(io), backoffTimer_(io), tickTimer_(io), resumeTimer_(io) {}
 
 Micros SubscriptionClient::now() {
--- a/src/client/subscription_client.h
+++ b/src/client/subscription_client.h
@@ -27,10 +27,10 @@
     using OnStatus = std::function<void(const std::string& line)>;
 
     /// `planners`: at least one; they are tried in turn. `seed`: seed of the backoff's jitter.
-    /// `foreignExclusionHold`: how long an exclusion outlives the planner that announced it; see
+    /// `unconfirmedExclusionHold`: how long an exclusion outlives the planner that announced it; see
     /// pubsub::Replica.
     SubscriptionClient(boost::asio::io_context& io, std::vector<Endpoint> planners, Identity identity,
-                       const ReconnectConfig& reconnect, std::uint64_t seed, Micros foreignExclusionHold,
+                       const ReconnectConfig& reconnect, std::uint64_t seed, Micros unconfirmedExclusionHold,
                        Subscription::OnChange onChange = {}, OnStatus onStatus = {});
 
     /// Starts connecting. Must be called once.
--- a/src/command/subscribe.cpp
+++ b/src/command/subscribe.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr Micros kForeignExclusionHold = std::chrono::seconds(10);
+constexpr Micros kUnconfirmedExclusionHold = std::chrono::seconds(10);
 constexpr int kExitRefused = 2; // the same greeting would be refused again
 
 /// What of a table a client uses: the endpoints that it may send to, and the admission limits.
@@ -146,7 +146,7 @@
     const auto proxy = options.proxy ? std::optional(ProxyId{*options.proxy}) : std::nullopt;
     subscriber = std::make_shared<client::SubscriptionClient>(
         io, parsePlanners(options.planners), client::Identity{proxy, options.zone, options.weight},
-        client::ReconnectConfig{}, std::random_device{}(), kForeignExclusionHold, onChange, onStatus);
+        client::ReconnectConfig{}, std::random_device{}(), kUnconfirmedExclusionHold, onChange, onStatus);
     signals.async_wait([&](const boost::system::error_code& error, int) {
         if (!error) io.stop();
     });
