--- a/src/platform/pending_update.cpp
+++ b/src/platform/pending_update.cpp
@@ -124,7 +124,7 @@
     for (const auto& [endpoint, weight] : weights) {
         if (weight <= 0) continue;
         const bool excluded = state_.excludedEndpoints().contains(endpoint);
-        if (excluded || lastExclusionState_.contains(endpoint) || names_.wasForgotten(endpoint))
+        if (excluded || lastExclusionState_.contains(endpoint) || names_.hadEarlierId(endpoint))
             setExcluded(endpoint, excluded);
     }
 }
--- a/src/routing/name_registry.h
+++ b/src/routing/name_registry.h
@@ -40,7 +40,7 @@
         return id;
     }
     void setAddress(EndpointId id, std::string_view address) { endpoints_.at(id).address = address; }
-    /// Removes the endpoint. `wasForgotten` considers the last kMaxForgottenNames names that were removed.
+    /// Removes the endpoint. `hadEarlierId` considers the last kMaxForgottenNames names that were removed.
     void forget(EndpointId id) {
         const auto found = endpoints_.find(id);
         if (found == endpoints_.end()) return;
@@ -53,9 +53,9 @@
     const std::string& nameOf(RequestClassId id) const { return requestClasses_[id.value]; }
     /// Whether the endpoint's name was forgotten under an earlier id: proxies may still exclude the endpoint
     /// because of an exclusion that was ordered under that id.
-    bool wasForgotten(EndpointId id) const {
+    bool hadEarlierId(EndpointId id) const {
         const auto found = endpoints_.find(id);
-        return found != endpoints_.end() && found->second.wasForgotten;
+        return found != endpoints_.end() && found->second.hadEarlierId;
     }
     /// Empty if the endpoint is not registered.
     std::string address(EndpointId id) const {
@@ -71,7 +71,7 @@
     struct Endpoint {
         std::string name;
         std::string address;
-        bool wasForgotten = false; ///< under an earlier id
+        bool hadEarlierId = false; ///< the name was forgotten under an earlier id
     };
 
     template <class IdType>
