--- a/src/platform/push_stream.h
+++ b/src/platform/push_stream.h
@@ -15,7 +15,7 @@
     /// Whether everything that was queued has been written.
     virtual bool idle() const = 0;
     /// Called when the proxy has opened a newer stream, which ends this one.
-    virtual void replaced() = 0;
+    virtual void onReplaced() = 0;
 };
 
 } // namespace zincstack::net
--- a/src/platform/session_acceptor.cpp
+++ b/src/platform/session_acceptor.cpp
@@ -27,7 +27,7 @@
 private:
     bool push(std::string_view bytes) override { return connection_.push(bytes); }
     bool idle() const override { return connection_.idle(); }
-    void replaced() override { connection_.close("replaced by a newer stream"); }
+    void onReplaced() override { connection_.close("replaced by a newer stream"); }
 
     Connection& connection_;
     PeerSession session_;
--- a/src/platform/update_queue.cpp
+++ b/src/platform/update_queue.cpp
@@ -54,7 +54,7 @@
     if (found == sessions_.end()) return;
     statistics_.streamReplaced();
     log::debug("stream_replaced", {{"proxy", proxy.value}});
-    found->second.stream->replaced();
+    found->second.stream->onReplaced();
     sessions_.erase(found);
 }
 
--- a/tests/capturing_stream.h
+++ b/tests/capturing_stream.h
@@ -20,7 +20,7 @@
         return !isSlow;
     }
     bool idle() const override { return !isSlow; }
-    void replaced() override { wasReplaced = true; }
+    void onReplaced() override { wasReplaced = true; }
 
     /// Returns the bytes recorded since the last call.
     std::string take() { return std::exchange(received, {}); }
--- a/tests/simulated_fleet.cpp
+++ b/tests/simulated_fleet.cpp
@@ -42,7 +42,7 @@
         return true;
     }
     bool idle() const override { return true; }
-    void replaced() override {}
+    void onReplaced() override {}
 
 private:
     SimulatedFleet& fleet_;
