--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -53,7 +53,7 @@
 }
 
 void DiscoveryWatch::connectionLost() {
-    response_.ended();
+    response_.connectionClosed();
     const bool endedResponse = usable() && response_.done();
     const bool unusable = endedResponse && handleResponse() == Input::UnusableResponse;
     step(unusable ? Input::UnusableResponse : Input::ConnectionLost);
--- a/src/http/http_response.cpp
+++ b/src/http/http_response.cpp
@@ -59,7 +59,8 @@
         case State::BodyWithLength: feedBody(bytes, State::Done); break;
         case State::ChunkData: feedBody(bytes, State::ChunkEnd); break;
         case State::BodyUntilClose:
-            remainingBytes_ = bytes.size() + 1; // never reaches zero: only `ended` completes this body
+            remainingBytes_ =
+                bytes.size() + 1; // never reaches zero: only `connectionClosed` completes this body
             feedBody(bytes, State::BodyUntilClose);
             break;
         default: feedLine(bytes);
@@ -68,7 +69,7 @@
     return size - bytes.size();
 }
 
-void HttpResponse::ended() {
+void HttpResponse::connectionClosed() {
     if (!done()) state_ = state_ == State::BodyUntilClose ? State::Done : State::Broken;
 }
 
@@ -135,7 +136,7 @@
     } else if (equalsIgnoringCase(name, "Connection")) {
         keepAlive_ = !equalsIgnoringCase(value, "close");
     } else if (equalsIgnoringCase(name, "X-Never-Ran")) {
-        neverRan_ = true;
+        hadNoEffect_ = true;
     }
 }
 
--- a/src/http/http_response.h
+++ b/src/http/http_response.h
@@ -19,7 +19,7 @@
     std::size_t feed(std::string_view bytes);
     /// Must be called when the connection has closed. This completes a body that has no declared length; any
     /// other unfinished response becomes broken.
-    void ended();
+    void connectionClosed();
 
     bool done() const { return state_ == State::Done; }
     /// Whether the response is malformed, larger than allowed, or truncated.
@@ -29,7 +29,7 @@
     /// Whether the server accepts another request on this connection.
     bool keepAlive() const { return keepAlive_; }
     /// Whether the response has the header X-Never-Ran, which states that the request had no effect.
-    bool neverRan() const { return neverRan_; }
+    bool hadNoEffect() const { return hadNoEffect_; }
 
 private:
     enum class State : std::uint8_t {
@@ -72,7 +72,7 @@
     bool hasContentLength_ = false;
     bool chunked_ = false;
     bool keepAlive_ = true;
-    bool neverRan_ = false;
+    bool hadNoEffect_ = false;
 };
 
 } // namespace zincstack::net
--- a/src/platform/prober.cpp
+++ b/src/platform/prober.cpp
@@ -67,11 +67,11 @@
         const std::size_t size = co_await readPiece(socket, buffer, deadline, error);
         if (error == asio::error::timed_out) co_return Result{ProbeStatus::TimedOut, {}};
         response.feed({buffer.data(), size});
-        if (error) response.ended();
+        if (error) response.connectionClosed();
     }
     if (response.broken()) co_return Result{ProbeStatus::ProtocolError, {}};
     if (response.status() == kHttpOk) co_return Result{ProbeStatus::Answered, response.body()};
-    co_return Result{response.neverRan() ? ProbeStatus::Rejected : ProbeStatus::Error, {}};
+    co_return Result{response.hadNoEffect() ? ProbeStatus::Rejected : ProbeStatus::Error, {}};
 }
 
 } // namespace zincstack::net
--- a/tests/http_response_test.cpp
+++ b/tests/http_response_test.cpp
@@ -13,7 +13,7 @@
 HttpResponse responseOf(std::string_view text, bool closes) {
     HttpResponse response(1 << 20);
     tests::feedInPieces(text, [&](std::string_view piece) { response.feed(piece); });
-    if (closes) response.ended();
+    if (closes) response.connectionClosed();
     return response;
 }
 
