--- a/bench/pubsub_planner_side.cpp
+++ b/bench/pubsub_planner_side.cpp
@@ -52,7 +52,7 @@
             [this] { return batchRunner.now(); });
     };
     channel_.emplace(io, counters, bufferPool, makeServer, 1s);
-    channel_->configure(pubsub::PubsubService::Endpoint{"127.0.0.1:0", proxies + kSpareConnections});
+    channel_->configure(pubsub::PubsubService::ListenConfig{"127.0.0.1:0", proxies + kSpareConnections});
     return *channel_->address();
 }
 
--- a/src/command/daemon.cpp
+++ b/src/command/daemon.cpp
@@ -60,9 +60,10 @@
                        routingState);
 }
 
-std::optional<pubsub::PubsubService::Endpoint> pubsubEndpointOf(const config::OperatorConfig& config) {
+std::optional<pubsub::PubsubService::ListenConfig>
+pubsubListenConfigOf(const config::OperatorConfig& config) {
     if (!config.pubsub) return {};
-    return pubsub::PubsubService::Endpoint{config.pubsub->listen, config.pubsub->maxSubscribers};
+    return pubsub::PubsubService::ListenConfig{config.pubsub->listen, config.pubsub->maxSubscribers};
 }
 
 /// Calls `handler` for each of the signals, for as long as the loop runs.
@@ -113,7 +114,7 @@
       operatorConfigReloader_(io_, counters_, "operator's file", [this] { reloadOperatorConfig(); }) {}
 
 int Daemon::run(SignalMask& signals) {
-    pubsubService_.configure(pubsubEndpointOf(config_.operatorConfig));
+    pubsubService_.configure(pubsubListenConfigOf(config_.operatorConfig));
     loadCachedEndpoints();
     startNetwork();
     startReadinessTimer();
@@ -200,7 +201,7 @@
     // A service that was off at the start has no share in the budget: its descriptors come on top.
     if (reloaded.pubsub && !config_.operatorConfig.pubsub)
         descriptorsBesidePubsub(config_.startFile.maxDescriptors, reloaded.pubsub);
-    pubsubService_.configure(pubsubEndpointOf(reloaded));
+    pubsubService_.configure(pubsubListenConfigOf(reloaded));
     configureLog(reloaded.log);
     const std::string channel = reloaded.pubsub ? reloaded.pubsub->listen : "off";
     log::info("reload", {{"operator", config_.operatorFile}, {"channel", channel}});
--- a/src/pubsub/pubsub_service.cpp
+++ b/src/pubsub/pubsub_service.cpp
@@ -22,25 +22,25 @@
     return listener_ ? std::optional(listener_->address()) : std::nullopt;
 }
 
-void PubsubService::configure(const std::optional<Endpoint>& endpoint) {
-    if (endpoint && listener_ && endpoint->listen == configuredAddress_) return;
-    auto next = endpoint ? makeListener(*endpoint) : nullptr;
+void PubsubService::configure(const std::optional<ListenConfig>& listenConfig) {
+    if (listenConfig && listener_ && listenConfig->listen == configuredAddress_) return;
+    auto next = listenConfig ? makeListener(*listenConfig) : nullptr;
     if (listener_) stopListening();
     listener_ = std::move(next);
-    configuredAddress_ = endpoint ? endpoint->listen : std::string{};
-    if (listener_) startListening(endpoint->maxSubscribers);
+    configuredAddress_ = listenConfig ? listenConfig->listen : std::string{};
+    if (listener_) startListening(listenConfig->maxSubscribers);
 }
 
-std::shared_ptr<net::Listener> PubsubService::makeListener(const Endpoint& endpoint) {
-    const auto address = net::parseAddress(endpoint.listen);
+std::shared_ptr<net::Listener> PubsubService::makeListener(const ListenConfig& listenConfig) {
+    const auto address = net::parseAddress(listenConfig.listen);
     if (!address)
         throw InputError("invalid listen address of the pub-sub channel: expected IP:PORT, got '" +
-                         endpoint.listen + "'");
+                         listenConfig.listen + "'");
     const auto makeSession = [this](net::Connection& connection) {
         return makeSubscriberSession(*server_, connection);
     };
-    return std::make_shared<net::Listener>(io_, *address, endpoint.maxSubscribers, kMaxQueuedBytes, counters_,
-                                           bufferPool_, bufferPool_, makeSession);
+    return std::make_shared<net::Listener>(io_, *address, listenConfig.maxSubscribers, kMaxQueuedBytes,
+                                           counters_, bufferPool_, bufferPool_, makeSession);
 }
 
 void PubsubService::stopListening() {
--- a/src/pubsub/pubsub_service.h
+++ b/src/pubsub/pubsub_service.h
@@ -22,7 +22,7 @@
     using MakeServer = std::function<std::unique_ptr<SubscriptionServer>()>;
 
     /// Settings that can change while the program runs.
-    struct Endpoint {
+    struct ListenConfig {
         std::string listen;         ///< address and port to listen on
         std::size_t maxSubscribers; ///< maximum number of connections
     };
@@ -36,16 +36,16 @@
     PubsubService& operator=(const PubsubService&) = delete;
     PubsubService& operator=(PubsubService&&) = delete;
 
-    /// Switches the channel on, moves it to another listen address, or switches it off if `endpoint` is
+    /// Switches the channel on, moves it to another listen address, or switches it off if `listenConfig` is
     /// std::nullopt. Throws InputError if the address is invalid, and boost::system::system_error if it
     /// cannot be listened on. The channel is not changed in these cases. A change of `maxSubscribers` alone
     /// has no effect.
-    void configure(const std::optional<Endpoint>& endpoint);
+    void configure(const std::optional<ListenConfig>& listenConfig);
     /// Returns the listen address; std::nullopt while the channel is off.
     std::optional<boost::asio::ip::tcp::endpoint> address() const;
 
 private:
-    std::shared_ptr<net::Listener> makeListener(const Endpoint& endpoint);
+    std::shared_ptr<net::Listener> makeListener(const ListenConfig& listenConfig);
     void stopListening();
     void startListening(std::size_t maxSubscribers);
     void scheduleTick();
--- a/tests/pubsub_service_test.cpp
+++ b/tests/pubsub_service_test.cpp
@@ -76,7 +76,7 @@
     void SetUp() override {
         wakeUpTarget = &batchRunner;
         alarm(100); // seconds; ends a test that hangs
-        service.configure(pubsub::PubsubService::Endpoint{"127.0.0.1:0", 400});
+        service.configure(pubsub::PubsubService::ListenConfig{"127.0.0.1:0", 400});
     }
     void TearDown() override {
         for (auto& subscriber : clients) subscriber->stop();
@@ -219,7 +219,7 @@
     for (const auto& subscriber : clients)
         EXPECT_NE(subscriber->subscription().replica().tableOf("lookup"), nullptr);
     const auto snapshots = counters.of(net::Counter::Snapshots);
-    service.configure(pubsub::PubsubService::Endpoint{address, 400});
+    service.configure(pubsub::PubsubService::ListenConfig{address, 400});
     updateEndpoints(EndpointListUpdate::Delta, 20, 22, "Ready");
     runUntil([&] { return allUpToDate(); });
     EXPECT_EQ(counters.of(net::Counter::Snapshots), snapshots);
