--- a/src/http/http_response.cpp
+++ b/src/http/http_response.cpp
@@ -59,8 +59,8 @@
         case State::BodyWithLength: feedBody(bytes, State::Done); break;
         case State::ChunkData: feedBody(bytes, State::ChunkEnd); break;
         case State::BodyUntilClose:
-            remainingBytes_ =
-                bytes.size() + 1; // never reaches zero: only `connectionClosed` completes this body
+            // Never reaches zero: only `connectionClosed` completes this body.
+            remainingBytes_ = bytes.size() + 1;
             feedBody(bytes, State::BodyUntilClose);
             break;
         default: feedLine(bytes);
