--- a/src/client/subscription.cpp
+++ b/src/client/subscription.cpp
@@ -112,7 +112,7 @@
     return encodeFrame(frame, false);
 }
 
-std::string Subscription::farewell(std::string_view reason) {
+std::string Subscription::encodeBye(std::string_view reason) {
     Frame frame{FrameType::Bye};
     frame.body = encode(pubsub::DisconnectNotice{std::string(reason), {}});
     return encodeFrame(frame, false);
--- a/src/client/subscription.h
+++ b/src/client/subscription.h
@@ -47,7 +47,7 @@
     std::string encodeDemand(std::string_view requestClass, std::uint32_t requests, std::uint32_t unanswered,
                              Micros interval);
     /// Encodes the Bye frame, the last frame of a session that the client ends.
-    std::string farewell(std::string_view reason);
+    std::string encodeBye(std::string_view reason);
     /// Must be called when the connection has closed.
     void connectionClosed();
 
--- a/src/client/subscription_client.cpp
+++ b/src/client/subscription_client.cpp
@@ -47,7 +47,7 @@
 
 void SubscriptionClient::stop() {
     if (std::exchange(isStopped_, true)) return;
-    if (subscription_.usable()) send(subscription_.farewell("the front end ends"));
+    if (subscription_.usable()) send(subscription_.encodeBye("the front end ends"));
     error_code ignored;
     socket_.close(ignored);
     for (auto* timer : {&backoffTimer_, &tickTimer_, &resumeTimer_}) timer->cancel();
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -64,18 +64,18 @@
 /// arrived but not been read yet.
 void Connection::expireJoinDeadline() {
     if (!feedAvailable(1) || !peer_->joinDeadlineExpired())
-        end("peer did not identify itself before the join deadline");
+        closeWithMessage("peer did not identify itself before the join deadline");
 }
 
-/// The peer may not be reading, so the farewell is written only as far as the socket accepts it without
-/// blocking. It is omitted if queued bytes are unwritten, because it would then fall into the middle of a
-/// message.
-void Connection::end(std::string_view reason) {
-    const auto farewell = peer_ ? peer_->farewell() : std::string_view{};
+/// The peer may not be reading, so the closing message is written only as far as the socket accepts it
+/// without blocking. It is omitted if queued bytes are unwritten, because it would then fall into the middle
+/// of a message.
+void Connection::closeWithMessage(std::string_view reason) {
+    const auto closingMessage = peer_ ? peer_->closingMessage() : std::string_view{};
     const bool isMidMessage = !queue_.empty();
-    if (socket_.is_open() && !isMidMessage && !farewell.empty()) {
+    if (socket_.is_open() && !isMidMessage && !closingMessage.empty()) {
         error_code ignored;
-        socket_.write_some(asio::buffer(farewell), ignored);
+        socket_.write_some(asio::buffer(closingMessage), ignored);
     }
     close(reason);
 }
@@ -86,8 +86,8 @@
     for (;;) {
         co_await socket_.async_wait(asio::socket_base::wait_read,
                                     asio::redirect_error(asio::use_awaitable, error));
-        if (error) co_return end(error.message());
-        if (!feedAvailable(kMaxReadsPerTurn)) co_return end("session ended by the protocol");
+        if (error) co_return closeWithMessage(error.message());
+        if (!feedAvailable(kMaxReadsPerTurn)) co_return closeWithMessage("session ended by the protocol");
     }
 }
 
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -44,10 +44,11 @@
     /// Whether all queued bytes have been written.
     bool idle() const { return queuedBytes_ == 0; }
 
-    /// Closes the connection without the farewell. If several reasons are given, the first one is logged.
+    /// Closes the connection without the closing message. If several reasons are given, the first one is
+    /// logged.
     void close(std::string_view reason);
-    /// Closes the connection after writing the protocol's farewell as far as possible.
-    void end(std::string_view reason);
+    /// Closes the connection after writing the protocol's closing message as far as possible.
+    void closeWithMessage(std::string_view reason);
 
 private:
     /// A part of the write queue: either a block of its own or shared bytes.
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -44,7 +44,7 @@
     acceptor_.close(ignored);
     acceptTimer_.cancel();
     joinTimer_.cancel();
-    for (const auto& peer : peers_) peer->end("listener stopped");
+    for (const auto& peer : peers_) peer->closeWithMessage("listener stopped");
 }
 
 asio::awaitable<void> Listener::sleepUntil(asio::steady_timer& timer, Clock::time_point until) {
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -36,7 +36,7 @@
 
     /// Starts accepting connections. Must be called once.
     void start();
-    /// Stops accepting and closes all connections after their farewells.
+    /// Stops accepting and closes all connections after their protocols' closing messages.
     void stop();
     boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
     /// Number of open connections.
--- a/src/net/peer_protocol.h
+++ b/src/net/peer_protocol.h
@@ -24,7 +24,7 @@
     virtual void connectionClosed() = 0;
     /// Bytes to write before this side closes the connection; may be empty. Only as many are written as the
     /// socket accepts without blocking.
-    virtual std::string_view farewell() const { return {}; }
+    virtual std::string_view closingMessage() const { return {}; }
 };
 
 } // namespace zincstack::net
--- a/src/platform/session_acceptor.cpp
+++ b/src/platform/session_acceptor.cpp
@@ -20,7 +20,7 @@
     bool joinDeadlineExpired() override { return session_.joinDeadlineExpired(); }
     bool isUnidentified() const override { return session_.isUnidentified(); }
     void connectionClosed() override { session_.connectionClosed(); }
-    std::string_view farewell() const override {
+    std::string_view closingMessage() const override {
         return session_.isRejected() ? "error reason=refused\r\n" : std::string_view{};
     }
 
--- a/src/pubsub/subscriber_session.cpp
+++ b/src/pubsub/subscriber_session.cpp
@@ -31,13 +31,13 @@
     void connectionClosed() override {
         if (subscriber_) server_.sessionClosed(*std::exchange(subscriber_, nullptr));
     }
-    std::string_view farewell() const override { return finalFrame_; }
+    std::string_view closingMessage() const override { return finalFrame_; }
 
 private:
     bool push(const SharedFrame& frame) override { return connection_.push(frame); }
     void close(std::string finalFrame) override {
         finalFrame_ = std::move(finalFrame);
-        connection_.end("session ended by the subscription server");
+        connection_.closeWithMessage("session ended by the subscription server");
     }
 
     SubscriptionServer& server_;
--- a/tests/pubsub_harness.h
+++ b/tests/pubsub_harness.h
@@ -101,9 +101,9 @@
             toClient += *frame;
             return true;
         }
-        void close(std::string farewell) override {
-            if (isOpen && harness.onBytes) harness.onBytes(number, Direction::ToSubscriber, farewell);
-            if (isOpen) toClient += farewell;
+        void close(std::string closingMessage) override {
+            if (isOpen && harness.onBytes) harness.onBytes(number, Direction::ToSubscriber, closingMessage);
+            if (isOpen) toClient += closingMessage;
             isOpen = false;
         }
         void end() {
--- a/tests/subscription_session_test.cpp
+++ b/tests/subscription_session_test.cpp
@@ -94,7 +94,7 @@
 TEST_F(SubscriptionSessionTest, ConnectionsThatViolateTheProtocolAreClosedAndDisturbNobody) {
     addEndpoints(5);
     Client& healthy = addJoinedClient(3);
-    const std::string goodbye = healthy.subscription.farewell("x");
+    const std::string goodbye = healthy.subscription.encodeBye("x");
     for (const std::string& bytes :
          {std::string("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), std::string(5000, '\xff'),
           std::string(5000, '\0'), goodbye, encodeFrame(frameOf(FrameType::Applied), false),
