--- a/src/net/line_framer.h
+++ b/src/net/line_framer.h
@@ -20,31 +20,31 @@
 class LineFramer {
 public:
     enum class Outcome : std::uint8_t {
-        Going,        ///< all bytes have been consumed
+        Incomplete,   ///< all bytes have been consumed
         Stopped,      ///< the line handler returned false
         TooLong,      ///< a line is longer than allowed
         OutOfBuffers, ///< the pool has no block left for the incomplete line
-        Unreadable    ///< a control character, or a byte that never occurs in UTF-8
+        InvalidByte   ///< a control character, or a byte that never occurs in UTF-8
     };
 
     explicit LineFramer(BufferPool& pool) : pool_(pool) {}
 
     /// Calls `handleLine` with each complete line, without its line ending, until the handler returns false.
     /// `maxBytes()` returns the maximum length that is allowed for the current line. After any outcome other
-    /// than Going the stream cannot be continued.
+    /// than Incomplete the stream cannot be continued.
     Outcome feed(std::string_view bytes, const auto& maxBytes,
                  const std::function<bool(std::string_view)>& handleLine) {
         while (!bytes.empty()) {
             const auto end = bytes.find('\n');
             const auto piece = bytes.substr(0, end);
             if (unfinishedBytes_ + piece.size() > maxBytes()) return Outcome::TooLong;
-            if (std::ranges::any_of(piece, isInvalidTextByte)) return Outcome::Unreadable;
+            if (std::ranges::any_of(piece, isInvalidTextByte)) return Outcome::InvalidByte;
             if (end == std::string_view::npos) return append(piece);
             bytes.remove_prefix(end + 1);
             const auto outcome = finishLine(piece, handleLine);
-            if (outcome != Outcome::Going) return outcome;
+            if (outcome != Outcome::Incomplete) return outcome;
         }
-        return Outcome::Going;
+        return Outcome::Incomplete;
     }
 
     /// The beginning of the incomplete line, at most one block of it.
@@ -70,12 +70,12 @@
     /// copied.
     Outcome finishLine(std::string_view lastPiece, const std::function<bool(std::string_view)>& handleLine) {
         if (unfinishedBytes_ == 0)
-            return handleLine(withoutCarriageReturn(lastPiece)) ? Outcome::Going : Outcome::Stopped;
-        if (const auto outcome = append(lastPiece); outcome != Outcome::Going) return outcome;
+            return handleLine(withoutCarriageReturn(lastPiece)) ? Outcome::Incomplete : Outcome::Stopped;
+        if (const auto outcome = append(lastPiece); outcome != Outcome::Incomplete) return outcome;
         const std::string line = joinBlocks();
         blocks_.clear();
         unfinishedBytes_ = 0;
-        return handleLine(withoutCarriageReturn(line)) ? Outcome::Going : Outcome::Stopped;
+        return handleLine(withoutCarriageReturn(line)) ? Outcome::Incomplete : Outcome::Stopped;
     }
 
     Outcome append(std::string_view piece) {
@@ -90,7 +90,7 @@
             piece.remove_prefix(part);
             unfinishedBytes_ += part;
         }
-        return Outcome::Going;
+        return Outcome::Incomplete;
     }
 
     std::string joinBlocks() const {
--- a/src/platform/peer_session.cpp
+++ b/src/platform/peer_session.cpp
@@ -47,13 +47,13 @@
     counters_.add(Counter::BytesIn, bytes.size());
     const auto maxLineBytes = [this] { return isUnidentified() ? kMaxUnidentifiedLineBytes : kMaxLineBytes; };
     switch (framer_.feed(bytes, maxLineBytes, [this](std::string_view line) { return handleLine(line); })) {
-    case LineFramer::Outcome::Going: {
+    case LineFramer::Outcome::Incomplete: {
         // Rejects a line that cannot become a message without waiting for its end.
         const auto kind = framer_.unfinishedLine().substr(0, framer_.unfinishedLine().find_first_of(" \r"));
         return beginsMessageKind(kind) || handleUnreadable(kind);
     }
     case LineFramer::Outcome::Stopped: return false;
-    case LineFramer::Outcome::Unreadable:
+    case LineFramer::Outcome::InvalidByte:
         return handleUnreadable("control characters or invalid UTF-8 bytes");
     case LineFramer::Outcome::TooLong:
         counters_.recordIgnored(Counter::TooLong,
--- a/tests/line_framer_test.cpp
+++ b/tests/line_framer_test.cpp
@@ -29,7 +29,7 @@
             framed.emplace_back(line);
             return true;
         };
-        RC_ASSERT(framer.feed(piece, maxLineBytes, handleLine) == LineFramer::Outcome::Going);
+        RC_ASSERT(framer.feed(piece, maxLineBytes, handleLine) == LineFramer::Outcome::Incomplete);
     });
     RC_ASSERT(framed == expected);
     RC_ASSERT(pool.leasedCount() == 1U);
@@ -41,8 +41,8 @@
     const std::string block(kBlockBytes, 'x');
     const auto outcome = [&](BufferPool& from) {
         LineFramer framer(from);
-        auto last = LineFramer::Outcome::Going;
-        for (int k = 0; k < 300 && last == LineFramer::Outcome::Going; ++k)
+        auto last = LineFramer::Outcome::Incomplete;
+        for (int k = 0; k < 300 && last == LineFramer::Outcome::Incomplete; ++k)
             last = framer.feed(block, maxLineBytes, {});
         return last;
     };
