--- a/bench/pubsub_planner_side.cpp
+++ b/bench/pubsub_planner_side.cpp
@@ -56,7 +56,7 @@
     return *channel_->address();
 }
 
-tcp::endpoint PlannerSide::startListener(net::Listener::MakePeer makePeer) {
+tcp::endpoint PlannerSide::startListener(net::Listener::ProtocolFactory makePeer) {
     const tcp::endpoint loopback(asio::ip::address_v4::loopback(), 0);
     listener_ = std::make_shared<net::Listener>(io, loopback, proxies + kSpareConnections,
                                                 net::SessionAcceptor::kMaxQueuedBytes, counters, bufferPool,
--- a/bench/pubsub_planner_side.h
+++ b/bench/pubsub_planner_side.h
@@ -72,7 +72,7 @@
 
 private:
     boost::asio::ip::tcp::endpoint startChannel();
-    boost::asio::ip::tcp::endpoint startListener(net::Listener::MakePeer makePeer);
+    boost::asio::ip::tcp::endpoint startListener(net::Listener::ProtocolFactory makePeer);
 
     std::optional<WholeTableTransport> wholeTables_;
     std::optional<pubsub::PubsubService> channel_;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -23,7 +23,7 @@
 
 Listener::Listener(asio::io_context& io, const asio::ip::tcp::endpoint& address, std::size_t maxPeers,
                    std::size_t maxQueuedBytes, Counters& counters, BufferPool& lineBlocks,
-                   BufferPool& pushBlocks, MakePeer makePeer)
+                   BufferPool& pushBlocks, ProtocolFactory makePeer)
     : acceptor_(io, address, true), acceptTimer_(io), joinTimer_(io), maxPeers_(maxPeers),
       maxQueuedBytes_(maxQueuedBytes), counters_(counters), pushBlocks_(pushBlocks),
       makePeer_(std::move(makePeer)), readBuffer_(lineBlocks.take()) {}
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -25,14 +25,14 @@
 class Listener : public std::enable_shared_from_this<Listener> {
 public:
     /// Creates the protocol of a new connection.
-    using MakePeer = std::function<std::unique_ptr<PeerProtocol>(Connection&)>;
+    using ProtocolFactory = std::function<std::unique_ptr<PeerProtocol>(Connection&)>;
 
     /// `maxQueuedBytes`: limit of the write queue of one connection. `lineBlocks` provides the buffer that
     /// all connections read into, `pushBlocks` the blocks of their write queues. Throws
     /// boost::system::system_error if it cannot listen at the address.
     Listener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, std::size_t maxPeers,
              std::size_t maxQueuedBytes, Counters& counters, BufferPool& lineBlocks, BufferPool& pushBlocks,
-             MakePeer makePeer);
+             ProtocolFactory makePeer);
 
     /// Starts accepting connections. Must be called once.
     void start();
@@ -64,7 +64,7 @@
     const std::size_t maxQueuedBytes_;
     Counters& counters_;
     BufferPool& pushBlocks_;
-    const MakePeer makePeer_;
+    const ProtocolFactory makePeer_;
     const BufferPool::Lease readBuffer_;
     std::list<std::shared_ptr<Connection>> peers_;
     std::deque<UnidentifiedPeer> unidentified_; // oldest first; may include peers that have joined or left
