--- a/src/simwire/host.cpp
+++ b/src/simwire/host.cpp
@@ -49,7 +49,7 @@
 
 Host::Host(Notice notice) : notice_(std::move(notice)) {}
 
-std::span<const std::byte> Host::play(const BatchHeader& header, std::span<const std::byte> body) {
+std::span<const std::byte> Host::processBatch(const BatchHeader& header, std::span<const std::byte> body) {
     clock_ = header.clock;
     reply_.clear();
     std::size_t position = 0;
--- a/src/simwire/host.h
+++ b/src/simwire/host.h
@@ -30,7 +30,7 @@
 
     /// Handles all events of a batch, lets the affected planners decide, and returns their actions. The reply
     /// stays valid until the next call. Throws InputError if the batch is malformed.
-    std::span<const std::byte> play(const BatchHeader& header, std::span<const std::byte> body);
+    std::span<const std::byte> processBatch(const BatchHeader& header, std::span<const std::byte> body);
 
 private:
     struct EventHandler;
--- a/src/simwire/main.cpp
+++ b/src/simwire/main.cpp
@@ -25,7 +25,7 @@
     zincstack::simwire::BatchInput input(stdin);
     zincstack::simwire::Batch batch;
     while (input.read(batch))
-        if (!writeReply(host.play(batch.header, batch.body))) return false;
+        if (!writeReply(host.processBatch(batch.header, batch.body))) return false;
     return true;
 }
 
--- a/tests/admission_control_test.cpp
+++ b/tests/admission_control_test.cpp
@@ -15,7 +15,7 @@
     ASSERT_FALSE(model->admissionLimits.empty());
     for (const auto& [requestClasses, limit] : model->admissionLimits)
         EXPECT_TRUE(limit >= 0.9 || requestClasses == 2);
-    passCalmSeconds(*model, 40);
+    advanceWithSuccessfulReports(*model, 40);
     EXPECT_DOUBLE_EQ(model->admissionLimits.back().second, 1);
 }
 
--- a/tests/digest_simwire.cpp
+++ b/tests/digest_simwire.cpp
@@ -101,8 +101,8 @@
         ++day_.coverage["event code " + std::to_string(code)];
     }
     void playBatch() {
-        const simwire::BatchHeader header{recordCount_, static_cast<std::uint32_t>(body_.all.size()), now_};
-        recordReply(host_.play(header, body_.all));
+        const simwire::BatchHeader header{recordCount_, static_cast<std::uint32_t>(body_.bytes.size()), now_};
+        recordReply(host_.processBatch(header, body_.bytes));
         body_ = {};
         recordCount_ = 0;
         now_ += Micros(static_cast<std::int64_t>(numbers_.between(20, 900)) * 1000);
--- a/tests/endpoint_registry_test.cpp
+++ b/tests/endpoint_registry_test.cpp
@@ -21,10 +21,10 @@
         model->planner->reportLoad({{3}, {0}, 100, 100, 0us, 1s, {}});
         model->planner->probeCompleted({{3}, ProbeStatus::Unreachable, 0us, {}});
     });
-    passCalmSeconds(*model, 10);
+    advanceWithSuccessfulReports(*model, 10);
     EXPECT_EQ(weightOf(*model, 9), 1);
     model->updateEndpoint(3, EndpointState::Ready);
-    passCalmSeconds(*model, 10);
+    advanceWithSuccessfulReports(*model, 10);
     EXPECT_EQ(weightOf(*model, 3), 1);
     EXPECT_EQ(model->tables[{0}].size(), 5U);
     for (const auto& [id, proxy] : model->proxies) EXPECT_FALSE(proxy.excluded.contains({3}));
--- a/tests/settled_model.h
+++ b/tests/settled_model.h
@@ -35,7 +35,7 @@
 }
 
 /// Advances the time by `count` seconds, with a load report without failures at the start of each.
-inline void passCalmSeconds(ProxyModel& model, int count) {
+inline void advanceWithSuccessfulReports(ProxyModel& model, int count) {
     for (int second = 0; second < count; ++second) {
         model.reportLoad(20, kNoFailures);
         model.advance(1s);
--- a/tests/simwire_test.cpp
+++ b/tests/simwire_test.cpp
@@ -38,8 +38,8 @@
     Host host{[this](std::string_view line) { notices.emplace_back(line); }};
 
     std::vector<std::byte> play(std::uint32_t records, const Bytes& body) {
-        const BatchHeader header{records, static_cast<std::uint32_t>(body.all.size()), Micros(5s)};
-        const auto reply = host.play(header, body.all);
+        const BatchHeader header{records, static_cast<std::uint32_t>(body.bytes.size()), Micros(5s)};
+        const auto reply = host.processBatch(header, body.bytes);
         return {reply.begin(), reply.end()};
     }
     std::string errorAfter(std::uint32_t records, const Bytes& body) {
