--- a/bench/pubsub_bench.cpp
+++ b/bench/pubsub_bench.cpp
@@ -110,13 +110,13 @@
     }
     double perSubscriber(double total) const { return total / static_cast<double>(scenario_.subscribers); }
     double bytesOut() const { return static_cast<double>(planner_.counters.of(net::Counter::BytesOut)); }
-    void waitForAcknowledgments(std::uint64_t count) {
-        const bool isReached = planner_.runUntil([&] { return planner_.planner.acknowledgments >= count; });
+    void waitForAcknowledgements(std::uint64_t count) {
+        const bool isReached = planner_.runUntil([&] { return planner_.planner.acknowledgements >= count; });
         isComplete_ = isComplete_ && isReached;
     }
 
     void measureJoin(std::int64_t start, std::size_t heapBefore) {
-        waitForAcknowledgments(scenario_.subscribers);
+        waitForAcknowledgements(scenario_.subscribers);
         figures_["join_all_ms"] = millisSince(start);
         figures_["join_bytes_each"] = perSubscriber(bytesOut());
         planner_.runFor(300ms);
@@ -145,7 +145,7 @@
             last = std::max(last, delays.each.back());
         }
         delays.last.push_back(last);
-        planner_.runFor(5ms); // lets the acknowledgments arrive
+        planner_.runFor(5ms); // lets the acknowledgements arrive
     }
     void measureChanges(const char* name, const std::function<void(std::size_t)>& applyChange) {
         Delays delays;
@@ -162,10 +162,10 @@
     }
 
     void measureReconnect(int percent) {
-        const auto before = planner_.planner.acknowledgments;
+        const auto before = planner_.planner.acknowledgements;
         const auto start = steadyMicros();
         planner_.command(shared_.state(), ClientCommand::DropConnections, percent);
-        waitForAcknowledgments(before + scenario_.subscribers * static_cast<std::size_t>(percent) / 100);
+        waitForAcknowledgements(before + scenario_.subscribers * static_cast<std::size_t>(percent) / 100);
         figures_["catch_up_ms"][std::to_string(percent)] = millisSince(start);
     }
 
--- a/bench/pubsub_planner_side.cpp
+++ b/bench/pubsub_planner_side.cpp
@@ -31,7 +31,7 @@
     case Transport::WholeTables:
         wholeTables_.emplace(
             routingState, names, [this]() -> Planner& { return batchRunner.openBatch(); },
-            [this] { ++planner.acknowledgments; });
+            [this] { ++planner.acknowledgements; });
         return startListener(
             [this](net::Connection& connection) { return wholeTables_->makeSession(connection); });
     case Transport::Platform: break;
--- a/bench/pubsub_planner_side.h
+++ b/bench/pubsub_planner_side.h
@@ -29,7 +29,7 @@
     void proxyLeft(ProxyId proxy) override { std::erase(unassigned, proxy); }
     void reportLoad(const EndpointLoadReport&) override {}
     void reportDemand(const DemandReport&) override {}
-    void barrierAcknowledged(ProxyId, BarrierId) override { ++acknowledgments; }
+    void barrierAcknowledged(ProxyId, BarrierId) override { ++acknowledgements; }
     void probeCompleted(const ProbeResult&) override {}
     void timerExpired() override {}
     void decide() override;
@@ -37,7 +37,7 @@
     routing::RoutingState& routingState;
     std::vector<ProxyId> unassigned;
     std::function<void()> applyChange; ///< called in the next batch, then reset
-    std::uint64_t acknowledgments = 0;
+    std::uint64_t acknowledgements = 0;
     std::uint16_t lastBarrier = 0;
 };
 
--- a/src/client/subscription.cpp
+++ b/src/client/subscription.cpp
@@ -216,7 +216,7 @@
         if (frame.topic != pubsub::kExclusionsTopic) onlyBootstrapTable_ = false;
         reply += encodeHeader(FrameType::Applied, frame.topic, replica_.at(frame.topic).value_or(Sequence{}));
         return true;
-    case Effect::AcknowledgePart: reply += encodePartAcknowledgment(frame); return true;
+    case Effect::AcknowledgePart: reply += encodePartAcknowledgement(frame); return true;
     case Effect::RequestSnapshots:
         for (const TopicId topic : std::exchange(topicsToRequest_, {})) {
             ++frameCounts_.snapshotsRequested;
@@ -258,14 +258,14 @@
     return encodeFrame(frame, false);
 }
 
-std::string Subscription::encodePartAcknowledgment(const Frame& frame) const {
-    Frame acknowledgment{FrameType::Applied};
-    acknowledgment.topic = frame.topic;
-    acknowledgment.epoch = frame.epoch;
-    acknowledgment.sequence = frame.sequence;
-    acknowledgment.more = true;
-    acknowledgment.part = frame.part;
-    return encodeFrame(acknowledgment, false);
+std::string Subscription::encodePartAcknowledgement(const Frame& frame) const {
+    Frame acknowledgement{FrameType::Applied};
+    acknowledgement.topic = frame.topic;
+    acknowledgement.epoch = frame.epoch;
+    acknowledgement.sequence = frame.sequence;
+    acknowledgement.more = true;
+    acknowledgement.part = frame.part;
+    return encodeFrame(acknowledgement, false);
 }
 
 std::string Subscription::encodeHeader(FrameType type, TopicId topic, Sequence sequence) const {
--- a/src/client/subscription.h
+++ b/src/client/subscription.h
@@ -142,7 +142,7 @@
     Event protocolError(std::string reason);
     bool acceptWelcome(const pubsub::Frame& frame);
     std::string encodeHello() const;
-    std::string encodePartAcknowledgment(const pubsub::Frame& frame) const;
+    std::string encodePartAcknowledgement(const pubsub::Frame& frame) const;
     std::string encodeHeader(pubsub::FrameType type, pubsub::TopicId topic, pubsub::Sequence sequence) const;
 
     const Identity identity_;
--- a/src/pubsub/frame.h
+++ b/src/pubsub/frame.h
@@ -38,7 +38,7 @@
 enum class FrameType : std::uint8_t {
     // Client to planner.
     Hello = 1, ///< opens the session
-    /// Acknowledgment without body: the topic has been applied up to the sequence, or, if `more` is set, the
+    /// Acknowledgement without body: the topic has been applied up to the sequence, or, if `more` is set, the
     /// part has been received.
     Applied = 2,
     Ask = 3,   ///< requests a snapshot of the topic; no body
--- a/src/pubsub/lease_config.h
+++ b/src/pubsub/lease_config.h
@@ -1,4 +1,4 @@
-// Timing of the pub-sub channel's sessions: heartbeats, leases and acknowledgment timeouts.
+// Timing of the pub-sub channel's sessions: heartbeats, leases and acknowledgement timeouts.
 #pragma once
 
 #include <chrono>
@@ -12,9 +12,9 @@
 struct LeaseConfig {
     Micros heartbeatInterval = std::chrono::seconds(1); ///< maximum time between two frames of a side
     Micros leaseDuration = std::chrono::seconds(5);     ///< silence after which a subscriber is disconnected
-    /// Time without an acknowledgment after which a subscriber gets only exclusions.
+    /// Time without an acknowledgement after which a subscriber gets only exclusions.
     Micros ackTimeout = std::chrono::milliseconds(500);
-    /// Time without an acknowledgment after which a subscriber is disconnected.
+    /// Time without an acknowledgement after which a subscriber is disconnected.
     Micros stallTimeout = std::chrono::seconds(20);
     std::uint32_t reconnectsPerSecond = 200; ///< rate at which disconnected subscribers may reconnect
 };
--- a/src/pubsub/subscriber.h
+++ b/src/pubsub/subscriber.h
@@ -1,5 +1,5 @@
 // The planner's state of one subscriber: the state of its session, its position in each topic, its
-// unacknowledged messages, and the barriers that wait for their acknowledgment. Subscriber only keeps state
+// unacknowledged messages, and the barriers that wait for their acknowledgement. Subscriber only keeps state
 // and decides; SubscriptionServer carries out the effects.
 #pragma once
 
@@ -54,7 +54,7 @@
     CaughtUp,         ///< all contents of the subscriber's topics have been sent
     WindowFull,       ///< a message is pending and the subscriber's window is full
     LogTruncated,     ///< the log no longer covers the position, or the subscriber requested a snapshot
-    AckTimeout,       ///< no acknowledgment within `LeaseConfig::stallTimeout`
+    AckTimeout,       ///< no acknowledgement within `LeaseConfig::stallTimeout`
     LeaseExpired,     ///< no frame received within `LeaseConfig::leaseDuration`
     SessionReplaced,  ///< the proxy has a newer session
     ServiceSuspended, ///< the channel is switched off
@@ -147,7 +147,7 @@
     std::map<TopicId, TopicProgress> topics; ///< followed topics; the exclusions topic comes first
     Window window;
     Micros lastReceivedAt{};
-    /// Time of the last acknowledgment, or of the first part sent since nothing was unacknowledged.
+    /// Time of the last acknowledgement, or of the first part sent since nothing was unacknowledged.
     Micros lastProgressAt{};
     bool isWaitingForCapacity = false;          ///< queued in FlowControl
     std::vector<TopicPosition> resumePositions; ///< positions from the client's Hello
--- a/src/pubsub/subscription_server.h
+++ b/src/pubsub/subscription_server.h
@@ -62,7 +62,7 @@
     void protocolError(Subscriber& subscriber, const std::string& fault);
     /// Removes the subscriber of a connection that was closed.
     void sessionClosed(Subscriber& subscriber);
-    /// Checks the acknowledgment timeouts of all subscribers, and sends the heartbeats and checks the leases
+    /// Checks the acknowledgement timeouts of all subscribers, and sends the heartbeats and checks the leases
     /// of one of `kTicksPerHeartbeat` groups of them. Has to be called `kTicksPerHeartbeat` times per
     /// heartbeat interval.
     void tick();
@@ -123,7 +123,7 @@
 
     /// Encoded heartbeats of one tick, shared by subscribers that follow the same topics.
     using HeartbeatCache = std::map<TopicHeads, SharedFrame>;
-    /// Restricts the subscriber to exclusions if it has acknowledged nothing within the acknowledgment
+    /// Restricts the subscriber to exclusions if it has acknowledged nothing within the acknowledgement
     /// timeout.
     void checkAckTimeout(Subscriber& subscriber, Micros now);
     /// Ends the session if its lease has expired or it has acknowledged nothing within the stall timeout.
--- a/tests/pubsub_harness.h
+++ b/tests/pubsub_harness.h
@@ -211,7 +211,7 @@
         }
         violations.emplace_back("nothing settles");
     }
-    /// A second passes: heartbeats, leases, acknowledgment timeouts.
+    /// A second passes: heartbeats, leases, acknowledgement timeouts.
     void runOneSecond(bool isReading = true) {
         for (std::uint32_t k = 0; k < pubsub::SubscriptionServer::kTicksPerHeartbeat; ++k) {
             now += 100ms;
