--- a/bench/pubsub_planner_side.cpp
+++ b/bench/pubsub_planner_side.cpp
@@ -31,7 +31,7 @@
     case Transport::WholeTables:
         wholeTables_.emplace(
             routingState, names, [this]() -> Planner& { return batchRunner.openBatch(); },
-            [this] { ++planner.acknowledgments; });
+            [this] { ++planner.acknowledgements; });
         return startListener(
             [this](net::Connection& connection) { return wholeTables_->makeSession(connection); });
     case Transport::Platform: break;
@@ -52,14 +52,14 @@
             [this] { return batchRunner.now(); });
     };
     channel_.emplace(io, counters, bufferPool, makeServer, 1s);
-    channel_->configure(pubsub::PubsubService::Endpoint{"127.0.0.1:0", proxies + kSpareConnections});
+    channel_->configure(pubsub::PubsubService::ListenConfig{"127.0.0.1:0", proxies + kSpareConnections});
     return *channel_->address();
 }
 
-tcp::endpoint PlannerSide::startListener(net::Listener::MakePeer makePeer) {
+tcp::endpoint PlannerSide::startListener(net::Listener::ProtocolFactory makePeer) {
     const tcp::endpoint loopback(asio::ip::address_v4::loopback(), 0);
     listener_ = std::make_shared<net::Listener>(io, loopback, proxies + kSpareConnections,
-                                                net::SessionAcceptor::kQueueBytesMost, counters, bufferPool,
+                                                net::SessionAcceptor::kMaxQueuedBytes, counters, bufferPool,
                                                 bufferPool, std::move(makePeer));
     listener_->start();
     return listener_->address();
--- a/src/client/subscription.cpp
+++ b/src/client/subscription.cpp
@@ -60,8 +60,8 @@
     {State::Any, Event::Gap, State::Any, Effect::Nothing},
 };
 
-Subscription::Subscription(Identity identity, Micros foreignExclusionHold, OnChange onChange)
-    : identity_(std::move(identity)), onChange_(std::move(onChange)), replica_(foreignExclusionHold) {}
+Subscription::Subscription(Identity identity, Micros unconfirmedExclusionHold, OnChange onChange)
+    : identity_(std::move(identity)), onChange_(std::move(onChange)), replica_(unconfirmedExclusionHold) {}
 
 std::string Subscription::connected(Micros now) {
     now_ = now;
@@ -112,7 +112,7 @@
     return encodeFrame(frame, false);
 }
 
-std::string Subscription::farewell(std::string_view reason) {
+std::string Subscription::encodeBye(std::string_view reason) {
     Frame frame{FrameType::Bye};
     frame.body = encode(pubsub::DisconnectNotice{std::string(reason), {}});
     return encodeFrame(frame, false);
@@ -216,7 +216,7 @@
         if (frame.topic != pubsub::kExclusionsTopic) onlyBootstrapTable_ = false;
         reply += encodeHeader(FrameType::Applied, frame.topic, replica_.at(frame.topic).value_or(Sequence{}));
         return true;
-    case Effect::AcknowledgePart: reply += encodePartAcknowledgment(frame); return true;
+    case Effect::AcknowledgePart: reply += encodePartAcknowledgement(frame); return true;
     case Effect::RequestSnapshots:
         for (const TopicId topic : std::exchange(topicsToRequest_, {})) {
             ++frameCounts_.snapshotsRequested;
@@ -258,14 +258,14 @@
     return encodeFrame(frame, false);
 }
 
-std::string Subscription::encodePartAcknowledgment(const Frame& frame) const {
-    Frame acknowledgment{FrameType::Applied};
-    acknowledgment.topic = frame.topic;
-    acknowledgment.epoch = frame.epoch;
-    acknowledgment.sequence = frame.sequence;
-    acknowledgment.more = true;
-    acknowledgment.part = frame.part;
-    return encodeFrame(acknowledgment, false);
+std::string Subscription::encodePartAcknowledgement(const Frame& frame) const {
+    Frame acknowledgement{FrameType::Applied};
+    acknowledgement.topic = frame.topic;
+    acknowledgement.epoch = frame.epoch;
+    acknowledgement.sequence = frame.sequence;
+    acknowledgement.more = true;
+    acknowledgement.part = frame.part;
+    return encodeFrame(acknowledgement, false);
 }
 
 std::string Subscription::encodeHeader(FrameType type, TopicId topic, Sequence sequence) const {
--- a/src/client/subscription.h
+++ b/src/client/subscription.h
@@ -30,9 +30,9 @@
     /// current.
     using OnChange = std::function<void(std::optional<pubsub::TopicId>)>;
 
-    /// `foreignExclusionHold`: how long an exclusion outlives the planner that announced it; see
+    /// `unconfirmedExclusionHold`: how long an exclusion outlives the planner that announced it; see
     /// pubsub::Replica.
-    Subscription(Identity identity, Micros foreignExclusionHold, OnChange onChange = {});
+    Subscription(Identity identity, Micros unconfirmedExclusionHold, OnChange onChange = {});
 
     /// Starts a session on a new connection. Returns the greeting to send.
     std::string connected(Micros now);
@@ -47,7 +47,7 @@
     std::string encodeDemand(std::string_view requestClass, std::uint32_t requests, std::uint32_t unanswered,
                              Micros interval);
     /// Encodes the Bye frame, the last frame of a session that the client ends.
-    std::string farewell(std::string_view reason);
+    std::string encodeBye(std::string_view reason);
     /// Must be called when the connection has closed.
     void connectionClosed();
 
@@ -142,7 +142,7 @@
     Event protocolError(std::string reason);
     bool acceptWelcome(const pubsub::Frame& frame);
     std::string encodeHello() const;
-    std::string encodePartAcknowledgment(const pubsub::Frame& frame) const;
+    std::string encodePartAcknowledgement(const pubsub::Frame& frame) const;
     std::string encodeHeader(pubsub::FrameType type, pubsub::TopicId topic, pubsub::Sequence sequence) const;
 
     const Identity identity_;
--- a/src/command/daemon.cpp
+++ b/src/command/daemon.cpp
@@ -63,9 +63,10 @@
                        routingState);
 }
 
-std::optional<pubsub::PubsubService::Endpoint> pubsubEndpointOf(const config::OperatorConfig& config) {
+std::optional<pubsub::PubsubService::ListenConfig>
+pubsubListenConfigOf(const config::OperatorConfig& config) {
     if (!config.pubsub) return {};
-    return pubsub::PubsubService::Endpoint{config.pubsub->listen, config.pubsub->maxSubscribers};
+    return pubsub::PubsubService::ListenConfig{config.pubsub->listen, config.pubsub->maxSubscribers};
 }
 
 /// Calls `handler` each time one of the signals arrives, as long as the event loop runs.
@@ -99,7 +100,7 @@
               config_.settings.connectTimeout, !config_.settings.reportColumns.empty()),
       sessionAcceptor_(inputTranslator_, counters_, lineBlocks_),
       listener_(std::make_shared<net::Listener>(
-          io_, listenAddress_, budget_.peers, net::SessionAcceptor::kQueueBytesMost, counters_, lineBlocks_,
+          io_, listenAddress_, budget_.peers, net::SessionAcceptor::kMaxQueuedBytes, counters_, lineBlocks_,
           pushBlocks_, [this](net::Connection& connection) { return sessionAcceptor_.accept(connection); })),
       discoveryWatch_(
           config_.startFile.discovery,
@@ -116,7 +117,7 @@
       operatorConfigReloader_(io_, counters_, "operator's file", [this] { reloadOperatorConfig(); }) {}
 
 int Daemon::run(SignalMask& signals) {
-    pubsubService_.configure(pubsubEndpointOf(config_.operatorConfig));
+    pubsubService_.configure(pubsubListenConfigOf(config_.operatorConfig));
     loadCachedEndpoints();
     startNetwork();
     startReadinessTimer();
@@ -193,7 +194,7 @@
 /// Only the address of discovery can change while the planner runs; other changed fields are ignored.
 void Daemon::reloadStartFile() {
     const config::StartFile reloaded = config::reloadStartFile();
-    discoveryDriver_.move(requireAddress("discovery", reloaded.discovery), reloaded.discovery);
+    discoveryDriver_.changeAddress(requireAddress("discovery", reloaded.discovery), reloaded.discovery);
     log::info("reload", {{"discovery", reloaded.discovery}});
 }
 
@@ -204,7 +205,7 @@
     // come on top.
     if (reloaded.pubsub && !config_.operatorConfig.pubsub)
         remainingDescriptors(config_.startFile.maxDescriptors, reloaded.pubsub);
-    pubsubService_.configure(pubsubEndpointOf(reloaded));
+    pubsubService_.configure(pubsubListenConfigOf(reloaded));
     configureLog(reloaded.log);
     const std::string channel = reloaded.pubsub ? reloaded.pubsub->listen : "off";
     log::info("reload", {{"operator", config_.operatorFile}, {"channel", channel}});
--- a/src/command/subscribe.cpp
+++ b/src/command/subscribe.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr Micros kInheritedExclusionHold = std::chrono::seconds(10); // of exclusions by an earlier planner
+constexpr Micros kUnconfirmedExclusionHold = std::chrono::seconds(10); // of exclusions by an earlier planner
 constexpr int kExitRefused = 2; // permanently: the same greeting would be refused again
 
 /// The contents of a routing table that a client uses: the eligible endpoints with their weights, and the
@@ -147,7 +147,7 @@
     const auto proxy = options.proxy ? std::optional(ProxyId{*options.proxy}) : std::nullopt;
     subscriber = std::make_shared<client::SubscriptionClient>(
         io, parsePlanners(options.planners), client::Identity{proxy, options.zone, options.weight},
-        client::ReconnectConfig{}, std::random_device{}(), kInheritedExclusionHold, onChange, onStatus);
+        client::ReconnectConfig{}, std::random_device{}(), kUnconfirmedExclusionHold, onChange, onStatus);
     signals.async_wait([&](const boost::system::error_code& error, int) {
         if (!error) io.stop();
     });
--- a/src/platform/session_acceptor.cpp
+++ b/src/platform/session_acceptor.cpp
@@ -20,14 +20,14 @@
     bool joinDeadlineExpired() override { return session_.joinDeadlineExpired(); }
     bool isUnidentified() const override { return session_.isUnidentified(); }
     void connectionClosed() override { session_.connectionClosed(); }
-    std::string_view farewell() const override {
+    std::string_view closingMessage() const override {
         return session_.isRejected() ? "error reason=refused\r\n" : std::string_view{};
     }
 
 private:
     bool push(std::string_view bytes) override { return connection_.push(bytes); }
     bool idle() const override { return connection_.idle(); }
-    void replaced() override { connection_.close("replaced by a newer stream"); }
+    void onReplaced() override { connection_.close("replaced by a newer stream"); }
 
     Connection& connection_;
     PeerSession session_;
--- a/tests/pubsub_harness.h
+++ b/tests/pubsub_harness.h
@@ -107,9 +107,9 @@
             toClient += *frame;
             return true;
         }
-        void close(std::string farewell) override {
-            if (isOpen && harness.onBytes) harness.onBytes(number, Direction::ToSubscriber, farewell);
-            if (isOpen) toClient += farewell;
+        void close(std::string closingMessage) override {
+            if (isOpen && harness.onBytes) harness.onBytes(number, Direction::ToSubscriber, closingMessage);
+            if (isOpen) toClient += closingMessage;
             isOpen = false;
         }
         /// Closes the connection from the client's side and reports the end of the session to the server.
@@ -223,7 +223,7 @@
         violations.emplace_back("clients still have unread bytes after " + std::to_string(kMaxRounds) +
                                 " rounds");
     }
-    /// Advances the clock by one second with its heartbeats, lease checks and acknowledgment timeouts.
+    /// Advances the clock by one second with its heartbeats, lease checks and acknowledgement timeouts.
     void runOneSecond(bool isReading = true) {
         for (std::uint32_t k = 0; k < pubsub::SubscriptionServer::kTicksPerHeartbeat; ++k) {
             now += 100ms;
--- a/tests/subscription_session_test.cpp
+++ b/tests/subscription_session_test.cpp
@@ -94,10 +94,10 @@
 TEST_F(SubscriptionSessionTest, ConnectionsThatViolateTheProtocolAreClosedWithoutAffectingOtherSessions) {
     addEndpoints(5);
     Client& healthy = addJoinedClient(3);
-    const std::string farewell = healthy.subscription.farewell("x");
+    const std::string bye = healthy.subscription.encodeBye("x");
     for (const std::string& bytes :
          {std::string("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), std::string(5000, '\xff'),
-          std::string(5000, '\0'), farewell, encodeFrame(frameOf(FrameType::Applied), false),
+          std::string(5000, '\0'), bye, encodeFrame(frameOf(FrameType::Applied), false),
           encodeFrame(frameOf(FrameType::Hello, "\xa0"), false),
           encodeFrame(frameOf(FrameType{77}), false)}) {
         Client violator(*this, 9, "a");
